--- a/src/main/kotlin/topazvale/reconcile/ClusterMetrics.kt
+++ b/src/main/kotlin/topazvale/reconcile/ClusterMetrics.kt
@@ -20,10 +20,10 @@
     fun reportOutOfOrder() = outOfOrder.increment()
 
     /** A task was found on a machine that is on no record. */
-    fun strayFound() = strays.increment()
+    fun orphanFound() = strays.increment()
 
     /** A machine was given up, and so long before its worker's lease had to be over at the latest. */
-    fun machineGivenUp(margin: Duration) = expiryMargin.record(margin.toJavaDuration())
+    fun machineLost(margin: Duration) = expiryMargin.record(margin.toJavaDuration())
 
     /** A task has got one more placement, and has [count] of them now. */
     fun placementAdded(count: Int) = placements.record(count.toDouble())
--- a/src/main/kotlin/topazvale/reconcile/ClusterState.kt
+++ b/src/main/kotlin/topazvale/reconcile/ClusterState.kt
@@ -110,7 +110,7 @@
 
     /** Has the counts written that polls show. */
     fun publishCounts(job: ManagedJob) {
-        records.last(Keys.taskCounts(job.spec.id)) { TaskCountRecord(job.doneCount, job.running).encode() }
+        records.last(Keys.taskCounts(job.spec.id)) { TaskCountRecord(job.doneCount, job.runningTasks).encode() }
     }
 
     /** The machine has gone back to the cloud, and all that was on it is gone. */
--- a/src/main/kotlin/topazvale/reconcile/DecisionLog.kt
+++ b/src/main/kotlin/topazvale/reconcile/DecisionLog.kt
@@ -40,26 +40,27 @@
     }
 
     /** A task is to stop. */
-    fun stopped(placed: PlacedTask, reason: StopReason, grace: Duration) = event(log.atDebug()) {
+    fun stopRequested(placed: PlacedTask, reason: StopReason, grace: Duration) = event(log.atDebug()) {
         placement(placed).add("reason", reason).add("grace", grace).log("stop_wanted")
     }
 
     /** A placement stops counting. */
-    fun absent(placed: PlacedTask, proof: AbsenceProof) = event(log.atDebug()) {
+    fun confirmedAbsent(placed: PlacedTask, proof: AbsenceProof) = event(log.atDebug()) {
         placement(placed).add("proof", proof).log("placement_gone")
     }
 
     /** A machine is given up: its worker's lease is over. */
-    fun givenUp(machine: ManagedMachine, grounds: LeaseGrounds) = event(log.atInfo()) {
+    fun machineLost(machine: ManagedMachine, grounds: LeaseGrounds) = event(log.atInfo()) {
         add("machine", machine.host).add("tasks", machine.placed.size).add("grounds", grounds).log("machine_given_up")
     }
 
     /** A task is on a machine, and on no record; [besides]: the machines of the task's other placements. */
-    fun strayFound(placed: PlacedTask, report: Report, jobKnown: Boolean, besides: List<String>) = event(log.atWarn()) {
-        placement(placed).add("sequence", report.sequence).add("workerToken", report.token)
-            .add("jobKnown", jobKnown).add("besides", besides)
-            .log("stray_task")
-    }
+    fun orphanFound(placed: PlacedTask, report: Report, jobKnown: Boolean, besides: List<String>) =
+        event(log.atWarn()) {
+            placement(placed).add("sequence", report.sequence).add("workerToken", report.token)
+                .add("jobKnown", jobKnown).add("besides", besides)
+                .log("stray_task")
+        }
 
     /** A report was answered though something newer had been heard of its worker. */
     fun reportOutOfOrder(report: Report, machine: ManagedMachine) = event(log.atDebug()) {
--- a/src/main/kotlin/topazvale/reconcile/DirectCommands.kt
+++ b/src/main/kotlin/topazvale/reconcile/DirectCommands.kt
@@ -81,7 +81,7 @@
     private fun reached(machine: ManagedMachine): Boolean {
         if (cluster.machines[machine.host] !== machine || !machine.responses.arrive) return false
         val reported = machine.reportedAt ?: return false
-        return reported.elapsedNow() < settings.workers.report * MachineSnapshots.REPORTS_MISSED
+        return reported.elapsedNow() < settings.workers.report * MachineSnapshots.MAX_MISSED_REPORTS
     }
 
     private fun orders(machine: ManagedMachine): List<Order> = machine.placed.values.mapNotNull { placed ->
--- a/src/main/kotlin/topazvale/reconcile/Invariants.kt
+++ b/src/main/kotlin/topazvale/reconcile/Invariants.kt
@@ -10,7 +10,7 @@
     private val log = LoggerFactory.getLogger(Invariants::class.java)
 
     /** The invariant of that name does not hold. */
-    fun violated(invariant: String, what: String) {
+    fun reportViolation(invariant: String, what: String) {
         Metrics.counter(METRIC, "invariant", invariant).increment()
         log.atError().addKeyValue("invariant", invariant).addKeyValue("what", what).log("invariant_violated")
     }
--- a/src/main/kotlin/topazvale/reconcile/JobLifecycle.kt
+++ b/src/main/kotlin/topazvale/reconcile/JobLifecycle.kt
@@ -14,14 +14,14 @@
     wake: () -> Unit,
 ) {
     private val watch = JobWatch(state, cluster.registry, clocks, wake)
-    private val ending = JobEnding(state, records, cluster.registry)
+    private val finalizer = JobFinalizer(state, records, cluster.registry)
 
     /** Up to when all that users asked for is known here. */
-    val seen: ComparableTimeMark get() = watch.seen
+    val currentAsOf: ComparableTimeMark get() = watch.currentAsOf
 
     /** Follows the jobs' records; see [JobWatch.run]. */
     suspend fun watch(from: Long, read: ComparableTimeMark) = watch.run(from, read)
 
-    /** Ends jobs that are over; [between] them starts are written. */
-    suspend fun end(between: suspend () -> Unit) = ending.end(between)
+    /** Ends jobs that are over; [afterEach] of them starts are written. */
+    suspend fun finalizeJobs(afterEach: suspend () -> Unit) = finalizer.finalizeJobs(afterEach)
 }
--- a/src/main/kotlin/topazvale/reconcile/JobRegistry.kt
+++ b/src/main/kotlin/topazvale/reconcile/JobRegistry.kt
@@ -6,7 +6,7 @@
 enum class RecordSource { REBUILD, LIST, EVENT, READ }
 
 /** A reading of the state service under way: what it brings may be as old as [provenBefore]. */
-class Reading internal constructor(val source: RecordSource, internal val provenBefore: Long)
+class PendingRead internal constructor(val source: RecordSource, internal val provenBefore: Long)
 
 /**
  * The jobs that are not over, and the one place that decides whether what was read of a job is news.
@@ -25,7 +25,7 @@
 
     /** The revisions at which jobs ended, by id. */
     private val ended = LinkedHashMap<String, Long>()
-    private val underWay = HashSet<Reading>()
+    private val underWay = HashSet<PendingRead>()
 
     /** The watch has told of all changes up to this revision. */
     private var proven = 0L
@@ -37,11 +37,11 @@
     val jobs: Map<String, ManagedJob> get() = live
 
     /** Of how many jobs the end is remembered. */
-    val rememberedEnds: Int get() = ended.size
+    val tombstoneCount: Int get() = ended.size
 
     /** Runs a reading other than the watch; what it brings has to be taken in within [work]. */
-    suspend fun <T> reading(source: RecordSource, work: suspend (Reading) -> T): T {
-        val reading = Reading(source, proven)
+    suspend fun <T> withPendingRead(source: RecordSource, work: suspend (PendingRead) -> T): T {
+        val reading = PendingRead(source, proven)
         underWay += reading
         try {
             return work(reading)
@@ -52,7 +52,7 @@
     }
 
     /** A record of a job that is not over was read; true where it is news. */
-    fun recorded(record: JobRecord, version: Long, source: RecordSource): Boolean {
+    fun applyRecord(record: JobRecord, version: Long, source: RecordSource): Boolean {
         val id = record.spec.id
         latest = maxOf(latest, version)
         val known = live[id]
@@ -68,7 +68,7 @@
     /** A job that is not over has become known. */
     fun add(record: JobRecord, version: Long, source: RecordSource): ManagedJob {
         val id = record.spec.id
-        ended[id]?.let { Invariants.violated(ENDED_JOB_ADDED, "$id of version $version, ended at $it") }
+        ended[id]?.let { Invariants.reportViolation(ENDED_JOB_ADDED, "$id of version $version, ended at $it") }
         latest = maxOf(latest, version)
         val job = ManagedJob(record, version, ledger.of(id), knownAt = latest)
         live[id] = job
@@ -77,21 +77,21 @@
     }
 
     /** The job ended, at this revision. */
-    fun ended(id: String, revision: Long, source: RecordSource) {
+    fun markEnded(id: String, revision: Long, source: RecordSource) {
         val job = live.remove(id)
         latest = maxOf(latest, revision)
         if (revision > oldestView()) ended[id] = revision
         if (job == null) return
         // Independent of what is remembered: a job that ended before it was added should not have been.
         if (revision <= job.knownAt) {
-            Invariants.violated(ENDED_JOB_ADDED, "$id known at ${job.knownAt}, ended at $revision")
+            Invariants.reportViolation(ENDED_JOB_ADDED, "$id known at ${job.knownAt}, ended at $revision")
         }
         ledger.close(id)
         log.ended(id, job, revision, source)
     }
 
     /** The watch has told of all changes up to the revision, and they have been taken in. */
-    fun provenUpTo(revision: Long) {
+    fun advanceWatchRevision(revision: Long) {
         proven = maxOf(proven, revision)
         latest = maxOf(latest, proven)
         forgetEnds()
--- a/src/main/kotlin/topazvale/reconcile/JobSnapshots.kt
+++ b/src/main/kotlin/topazvale/reconcile/JobSnapshots.kt
@@ -13,33 +13,33 @@
     private data class ReplicaKind(val queue: String, val need: Resources, val spotAllowed: Boolean)
 
     /** Jobs with tasks that are on no machine and may start, in the order of their submission. */
-    fun waiting(moment: Moment): List<WaitingJob> {
+    fun waiting(context: SnapshotContext): List<WaitingJob> {
         val claimed = HashMap<String, Resources>()
         return cluster.jobs.values.mapNotNull { job ->
             // Asked for each job: the earlier ones count against the guarantee also where they do not wait.
             val guaranteed = withinGuarantee(job, claimed)
-            if (job.pending > 0 && startable(job)) waiting(job, guaranteed, moment) else null
+            if (job.pendingTasks > 0 && startable(job)) waiting(job, guaranteed, context) else null
         }
     }
 
     /** By what a replica needs: services that ask for the same are looked after together. */
     fun services(now: Instant): List<ServiceLoad> = cluster.jobs.values
-        .filter { it.spec.isService && it.wanted }
+        .filter { it.spec.isService && it.shouldRun }
         .groupBy { ReplicaKind(it.spec.queue, it.spec.need, it.spec.spotAllowed) }
         .values
         .map { jobs -> load(jobs, now) }
 
-    private fun waiting(job: ManagedJob, guaranteed: Boolean, moment: Moment): WaitingJob {
+    private fun waiting(job: ManagedJob, guaranteed: Boolean, context: SnapshotContext): WaitingJob {
         val spec = job.spec
         return WaitingJob(
             spec = spec,
             submitted = job.record.submitted,
             deadline = job.record.deadline,
-            pending = job.pending,
+            pending = job.pendingTasks,
             placedIn = if (isBoundByZones(spec)) count(job) { it.market.zone } else emptyMap(),
             placedOn = if (spec.isService) count(job) { it.host } else emptyMap(),
-            begun = job.placed.isNotEmpty() || job.doneCount > 0,
-            estimate = moment.estimate(spec),
+            begun = job.placements.isNotEmpty() || job.doneCount > 0,
+            estimate = context.estimate(spec),
             withinGuarantee = guaranteed,
         )
     }
@@ -47,7 +47,7 @@
     private fun isBoundByZones(spec: JobSpec) = spec.oneZone || spec.spread || spec.isService
 
     private fun count(job: ManagedJob, by: (ManagedMachine) -> String): Map<String, Int> =
-        job.placed.all.groupingBy { by(it.machine) }.eachCount()
+        job.placements.all.groupingBy { by(it.machine) }.eachCount()
 
     private fun load(jobs: List<ManagedJob>, now: Instant): ServiceLoad {
         val recent = jobs.filter { now - it.record.submitted < ARRIVALS_WINDOW }
@@ -61,8 +61,8 @@
     private fun startable(job: ManagedJob): Boolean {
         val rested = job.notBefore?.hasPassedNow() != false
         // A gang starts anew only when nothing of its last attempt is left anywhere.
-        val whole = !job.spec.isGang || job.placed.isEmpty()
-        return job.wanted && !job.finishing && rested && whole
+        val whole = !job.spec.isGang || job.placements.isEmpty()
+        return job.shouldRun && !job.isFinalizing && rested && whole
     }
 
     /**
@@ -70,7 +70,7 @@
      * either: work without GPUs is within a guarantee of GPUs alone.
      */
     private fun withinGuarantee(job: ManagedJob, claimed: MutableMap<String, Resources>): Boolean {
-        if (!job.live) return false
+        if (!job.isLive) return false
         val team = settings.teams[job.spec.team] ?: return false
         val left = job.spec.need * (job.spec.tasks - job.doneCount)
         val sum = claimed.merge(team.name, left, Resources::plus) ?: left
--- a/src/main/kotlin/topazvale/reconcile/JobWatch.kt
+++ b/src/main/kotlin/topazvale/reconcile/JobWatch.kt
@@ -22,14 +22,14 @@
     private val wake: () -> Unit,
 ) {
     /** Up to when all that users asked for is known here. */
-    var seen: ComparableTimeMark = clocks.mark()
+    var currentAsOf: ComparableTimeMark = clocks.mark()
         private set
 
     /** [read]: when the reading of what is known so far began, which is complete up to the revision [from]. */
     suspend fun run(from: Long, read: ComparableTimeMark) {
         var since = from
-        seen = read
-        registry.provenUpTo(since)
+        currentAsOf = read
+        registry.advanceWatchRevision(since)
         while (true) {
             val sent = clocks.mark()
             when (val answer = state.watch(Keys.JOBS, since, WATCH)) {
@@ -43,8 +43,8 @@
     private fun changed(answer: Events, sent: ComparableTimeMark): Long {
         // The service names no order. In that of the revisions a job is known before its end.
         answer.events.sortedBy { it.version }.forEach(::take)
-        registry.provenUpTo(answer.revision)
-        seen = toldUpTo(answer, sent)
+        registry.advanceWatchRevision(answer.revision)
+        currentAsOf = toldUpTo(answer, sent)
         if (answer.events.isNotEmpty()) wake()
         return answer.revision
     }
@@ -58,7 +58,7 @@
     private fun take(event: Event) {
         val data = event.data
         if (data == null) {
-            registry.ended(idOf(event.key), event.version, RecordSource.EVENT)
+            registry.markEnded(idOf(event.key), event.version, RecordSource.EVENT)
         } else {
             take(Entry(event.key, data, event.version), RecordSource.EVENT)
         }
@@ -66,18 +66,19 @@
 
     private fun take(entry: Entry, source: RecordSource) {
         val record = Records.readOrNull(entry.key, entry.data, JobRecords::decode) ?: return
-        registry.recorded(record, entry.version, source)
+        registry.applyRecord(record, entry.version, source)
     }
 
     /** The watch goes on from the listing's first page, so that it may tell once more what later pages hold. */
-    private suspend fun readAnew(sent: ComparableTimeMark): Long = registry.reading(RecordSource.LIST) { reading ->
-        val listing = state.readAll(Keys.JOBS)
-        listing.entries.forEach { take(it, reading.source) }
-        registry.provenUpTo(listing.revision)
-        seen = sent
-        wake()
-        listing.revision
-    }
+    private suspend fun readAnew(sent: ComparableTimeMark): Long =
+        registry.withPendingRead(RecordSource.LIST) { reading ->
+            val listing = state.readAll(Keys.JOBS)
+            listing.entries.forEach { take(it, reading.source) }
+            registry.advanceWatchRevision(listing.revision)
+            currentAsOf = sent
+            wake()
+            listing.revision
+        }
 
     private fun idOf(key: String) = key.removePrefix(Keys.JOBS)
 
--- a/src/main/kotlin/topazvale/reconcile/Leadership.kt
+++ b/src/main/kotlin/topazvale/reconcile/Leadership.kt
@@ -60,7 +60,7 @@
     private var startsFrom: ComparableTimeMark = began
 
     /** Up to when all cancellations that users were told of are known. */
-    val seen: ComparableTimeMark get() = jobs.seen
+    val seen: ComparableTimeMark get() = jobs.currentAsOf
 
     /** Rebuilds the state and starts the loops. */
     fun start() {
@@ -111,7 +111,7 @@
      * Whether what users asked for is known well enough to start tasks. After an outage the lease may be certain before
      * the watch has told of cancellations that users learnt of before it.
      */
-    private fun knowsCancellations() = jobs.seen.elapsedNow() < settings.workers.cancel / KNOWN_WITHIN_PART
+    private fun knowsCancellations() = jobs.currentAsOf.elapsedNow() < settings.workers.cancel / KNOWN_WITHIN_PART
 
     private suspend fun planLoop() {
         while (true) {
@@ -130,7 +130,7 @@
             cluster.ledger.check(cluster.machines.values)
             if (!health.mayLead()) return false
         }
-        stopper.stopUnwanted(reportedCancelled())
+        stopper.requestStops(reportedCancelled())
         return true
     }
 
@@ -155,7 +155,7 @@
     private fun planOrDeliver() {
         val mayStart = term.certain && knowsCancellations() && startsFrom.hasPassedNow()
         if (!mayStart) return directCommands.deliver()
-        planning.plan(jobs.seen.elapsedNow())
+        planning.plan(jobs.currentAsOf.elapsedNow())
         requestWrite()
     }
 
@@ -164,7 +164,7 @@
             withTimeoutOrNull(spareInterval) { writeRequests.receive() }
             records.flush()
             directCommands.deliver()
-            jobs.end(between = ::flushIfWaiting)
+            jobs.finalizeJobs(afterEach = ::flushIfWaiting)
             if (!records.waiting && spareAt.hasPassedNow()) {
                 records.flushSpare()
                 spareAt = clocks.mark() + spareInterval
--- a/src/main/kotlin/topazvale/reconcile/MachineInventory.kt
+++ b/src/main/kotlin/topazvale/reconcile/MachineInventory.kt
@@ -55,7 +55,7 @@
         val seen = machine.seenAt
         return when {
             machine.failed -> ReturnReason.FAILED
-            machine.faults >= MachineSnapshots.FAULTS -> ReturnReason.FAULTY
+            machine.faults >= MachineSnapshots.MAX_CONSECUTIVE_FAILURES -> ReturnReason.FAULTY
             seen != null -> ReturnReason.SILENT.takeIf { seen.elapsedNow() > lease * SILENT_LEASES }
             neverCameUp(machine, type, age) -> ReturnReason.NEVER_UP
             else -> ReturnReason.UNLISTED.takeIf { isUnlisted(machine, age) }
@@ -68,7 +68,8 @@
     }
 
     private fun neverCameUp(machine: ManagedMachine, type: MachineType, age: Duration) =
-        age > type.boot * MachineSnapshots.BOOT_PATIENCE && machine.knownSince.elapsedNow() > lease * SILENT_LEASES
+        age > type.boot * MachineSnapshots.BOOT_TIMEOUT_FACTOR &&
+            machine.knownSince.elapsedNow() > lease * SILENT_LEASES
 
     private fun isUnlisted(machine: ManagedMachine, age: Duration): Boolean {
         val known = minOf(machine.knownSince.elapsedNow(), age)
--- a/src/main/kotlin/topazvale/reconcile/MachineSnapshots.kt
+++ b/src/main/kotlin/topazvale/reconcile/MachineSnapshots.kt
@@ -18,15 +18,15 @@
     private val token: Long,
 ) {
     /** The machines that something may be placed on, or waited for. */
-    fun all(moment: Moment): List<MachineState> = cluster.machines.values.mapNotNull { machine ->
-        cluster.types[machine.market.type]?.let { machine(machine, it, moment) }
+    fun all(context: SnapshotContext): List<MachineState> = cluster.machines.values.mapNotNull { machine ->
+        cluster.types[machine.market.type]?.let { machine(machine, it, context) }
     }
 
     /** Null for a machine that nothing is to be placed on, nor waited for. */
-    private fun machine(machine: ManagedMachine, type: MachineType, moment: Moment): MachineState? {
+    private fun machine(machine: ManagedMachine, type: MachineType, context: SnapshotContext): MachineState? {
         if (isLeaving(machine)) return null
-        val present = isPresent(machine, moment)
-        if (!present && !isBooting(machine, type, moment)) return null
+        val present = isPresent(machine, context)
+        if (!present && !isBooting(machine, type, context)) return null
         // A report from before our term may be a late copy: of a machine that is gone, or a session that is over.
         val up = present && (machine.rentedByUs || machine.token >= token)
         val ready = machine.rented + type.boot
@@ -37,35 +37,35 @@
             free = if (machine.holdsUnknown) Resources.NONE else type.capacity - machine.used,
             starts = MOST_STARTS - machine.placed.size,
             up = up,
-            readyIn = if (present) Duration.ZERO else (ready - moment.now).coerceAtLeast(Duration.ZERO),
+            readyIn = if (present) Duration.ZERO else (ready - context.now).coerceAtLeast(Duration.ZERO),
             images = machine.images,
             arriving = machine.arriving,
-            releases = if (up) releases(machine, moment) else NO_RELEASES,
-            idleFor = if (machine.placed.isEmpty()) moment.mark - machine.idleSince else null,
+            releases = if (up) releases(machine, context) else NO_RELEASES,
+            idleFor = if (machine.placed.isEmpty()) context.mark - machine.idleSince else null,
         )
     }
 
     private fun isLeaving(machine: ManagedMachine): Boolean {
-        val useless = machine.failed || machine.faults >= FAULTS
+        val useless = machine.failed || machine.faults >= MAX_CONSECUTIVE_FAILURES
         return machine.returning || useless || machine.noticeEndsAt != null
     }
 
-    private fun isPresent(machine: ManagedMachine, moment: Moment): Boolean {
+    private fun isPresent(machine: ManagedMachine, context: SnapshotContext): Boolean {
         val reported = machine.reportedAt ?: return false
-        return moment.mark - reported < settings.workers.report * REPORTS_MISSED && machine.responses.arrive
+        return context.mark - reported < settings.workers.report * MAX_MISSED_REPORTS && machine.responses.arrive
     }
 
-    private fun isBooting(machine: ManagedMachine, type: MachineType, moment: Moment): Boolean {
+    private fun isBooting(machine: ManagedMachine, type: MachineType, context: SnapshotContext): Boolean {
         if (machine.reportedAt != null) return false
-        val expected = moment.now - machine.rented < type.boot * BOOT_PATIENCE
+        val expected = context.now - machine.rented < type.boot * BOOT_TIMEOUT_FACTOR
         return expected || machine.knownSince.elapsedNow() < settings.workers.lease
     }
 
     /** Worked out only where somebody asks. */
-    private fun releases(machine: ManagedMachine, moment: Moment): Lazy<List<CapacityRelease>> =
-        lazy(LazyThreadSafetyMode.NONE) { machine.placed.values.map { release(it, moment) } }
+    private fun releases(machine: ManagedMachine, context: SnapshotContext): Lazy<List<CapacityRelease>> =
+        lazy(LazyThreadSafetyMode.NONE) { machine.placed.values.map { release(it, context) } }
 
-    private fun release(placed: PlacedTask, moment: Moment): CapacityRelease {
+    private fun release(placed: PlacedTask, context: SnapshotContext): CapacityRelease {
         val job = cluster.jobs[placed.start.task.job]
         // Whatever is left of a job that is over stops at once, and nobody loses by it.
         if (job == null) {
@@ -77,16 +77,16 @@
                 pressing = true,
             )
         }
-        val ran = placed.runningSince?.let { moment.mark - it } ?: Duration.ZERO
-        val estimate = moment.estimate(job.spec)
+        val ran = placed.runningSince?.let { context.mark - it } ?: Duration.ZERO
+        val estimate = context.estimate(job.spec)
         return CapacityRelease(
             placed.start,
             placed.need,
             within = within(job.spec, placed, estimate - ran),
             rank = job.spec.rank,
-            lost = if (isSpared(job, moment)) null else lost(job.spec, ran),
+            lost = if (isSpared(job, context)) null else lost(job.spec, ran),
             stopping = placed.stop != null,
-            pressing = JobOrder.pressing(job.record.deadline, estimate, moment.now),
+            pressing = JobOrder.pressing(job.record.deadline, estimate, context.now),
         )
     }
 
@@ -94,8 +94,8 @@
         if (spec.isService && placed.stop == null) Duration.INFINITE else left.coerceAtLeast(Duration.ZERO)
 
     /** A job that got its first share by its age would lose it at once to those it went before. */
-    private fun isSpared(job: ManagedJob, moment: Moment): Boolean {
-        val aged = moment.now - job.record.submitted > JobOrder.PATIENCE
+    private fun isSpared(job: ManagedJob, context: SnapshotContext): Boolean {
+        val aged = context.now - job.record.submitted > JobOrder.PATIENCE
         return job.spec.isGang || (job.doneCount == 0 && !job.spec.isService && aged)
     }
 
@@ -108,13 +108,13 @@
 
     companion object {
         /** A machine that misses this many reports gets nothing new. */
-        const val REPORTS_MISSED = 2.5
+        const val MAX_MISSED_REPORTS = 2.5
 
         /** A machine that takes longer than this many usual boot times is not waited for. */
-        const val BOOT_PATIENCE = 3
+        const val BOOT_TIMEOUT_FACTOR = 3
 
         /** A machine on which this many starts in a row failed is faulty. */
-        const val FAULTS = 3
+        const val MAX_CONSECUTIVE_FAILURES = 3
 
         /** What a machine reports of this many starts stays well below the limit of a body. */
         private const val MOST_STARTS = 400
--- a/src/main/kotlin/topazvale/reconcile/ManagedJob.kt
+++ b/src/main/kotlin/topazvale/reconcile/ManagedJob.kt
@@ -9,10 +9,15 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * A job that is not over, as this leader knows it; [placed] are the placements of its tasks, [knownAt] is the highest
- * revision of the state service that was known when the job became known.
+ * A job that is not over, as this leader knows it; [placements] are the placements of its tasks, [knownAt] is the
+ * highest revision of the state service that was known when the job became known.
  */
-class ManagedJob(record: JobRecord, version: Long, val placed: JobPlacements = JobPlacements(), val knownAt: Long = 0) {
+class ManagedJob(
+    record: JobRecord,
+    version: Long,
+    val placements: JobPlacements = JobPlacements(),
+    val knownAt: Long = 0,
+) {
     var record: JobRecord = record
         private set
 
@@ -26,7 +31,7 @@
     var doneCount = 0
 
     /** A job that fails wherever it starts is tried less and less often. */
-    var failures = 0
+    var consecutiveFailures = 0
 
     /** The machines on which it has failed since a task of it last succeeded. */
     private val failedOn = HashSet<String>()
@@ -35,7 +40,7 @@
     var notBefore: ComparableTimeMark? = null
 
     /** Its end is being written. */
-    var finishing = false
+    var isFinalizing = false
 
     /** Replicas that ended by themselves, by index. */
     private val backoffs = HashMap<Int, ReplicaBackoff>()
@@ -44,16 +49,16 @@
      * Some controller has told its user that it is cancelled, or may have: nothing of it may run, whatever its record
      * says.
      */
-    var reportedCancelled = false
+    var isReportedCancelled = false
 
     /** All its tasks are done; a service never is. */
-    val complete get() = doneCount == spec.tasks && !spec.isService
+    val isComplete get() = doneCount == spec.tasks && !spec.isService
 
     /** By its record nobody has cancelled it. */
-    val live get() = record.status == JobStatus.LIVE
+    val isLive get() = record.status == JobStatus.LIVE
 
     /** Its tasks may run. */
-    val wanted get() = live && !reportedCancelled
+    val shouldRun get() = isLive && !isReportedCancelled
 
     /** A later record of it was read. */
     fun update(record: JobRecord, version: Long) {
@@ -62,21 +67,21 @@
     }
 
     /** How many of its tasks could be started now. */
-    val pending: Int
+    val pendingTasks: Int
         get() {
-            val notDone = spec.tasks - doneCount - placed.tasks.count { !done.get(it) }
-            return notDone - backoffs.count { (index, backoff) -> index !in placed && backoff.rests }
+            val notDone = spec.tasks - doneCount - placements.tasks.count { !done.get(it) }
+            return notDone - backoffs.count { (index, backoff) -> index !in placements && backoff.rests }
         }
 
     /** How many of its tasks run, as users see it. */
-    val running get() = placed.all.count { it.state == TaskState.RUNNING || it.state == TaskState.SAVING }
+    val runningTasks get() = placements.all.count { it.state == TaskState.RUNNING || it.state == TaskState.SAVING }
 
     /**
      * A replica has ended by itself, after it ran for [ran]; [rest]: how long it rests after so many times in a row.
      */
-    fun replicaEnded(index: Int, ran: Duration, now: ComparableTimeMark, rest: (Int) -> Duration) {
+    fun recordReplicaExit(index: Int, ran: Duration, now: ComparableTimeMark, rest: (Int) -> Duration) {
         val times = if (ran > STABLE) 1 else (backoffs[index]?.times ?: 0) + 1
-        if (ran > STABLE) succeeded()
+        if (ran > STABLE) recordSuccess()
         backoffs[index] = ReplicaBackoff(times, now + rest(times))
     }
 
@@ -85,14 +90,14 @@
      * the other was submitted with a mistake: without that all machines it meets would be returned, with whatever else
      * runs there.
      */
-    fun failedOn(host: String): Boolean {
+    fun recordFailure(host: String): Boolean {
         failedOn += host
         return failedOn.size <= MOST_FAULTY_MACHINES
     }
 
     /** A task of it has succeeded: neither the job nor the machines it met are at fault. */
-    fun succeeded() {
-        failures = 0
+    fun recordSuccess() {
+        consecutiveFailures = 0
         failedOn.clear()
     }
 
@@ -101,7 +106,7 @@
         val found = ArrayList<Int>(count)
         var index = done.nextClearBit(0)
         while (found.size < count && index < spec.tasks) {
-            if (index !in placed && backoffs[index]?.rests != true) found += index
+            if (index !in placements && backoffs[index]?.rests != true) found += index
             index = done.nextClearBit(index + 1)
         }
         return found
--- a/src/main/kotlin/topazvale/reconcile/PlacementLedger.kt
+++ b/src/main/kotlin/topazvale/reconcile/PlacementLedger.kt
@@ -23,7 +23,7 @@
         val others = placements.of(task.index)
         // What the leader itself starts must be nowhere else; a stray is found where it is.
         if (!placed.isStray && others.isNotEmpty()) {
-            Invariants.violated("second_placement", "${placed.start} on ${placed.machine.host} beside $others")
+            Invariants.reportViolation("second_placement", "${placed.start} on ${placed.machine.host} beside $others")
         }
         placements.add(placed)
         placed.machine.add(placed)
@@ -63,7 +63,7 @@
         val byJob = jobs.values.sumOf { it.size }
         val byMachine = machines.sumOf { it.placed.size }
         if (byJob != byMachine) {
-            Invariants.violated("ledger_sums", "$byJob placements by job, $byMachine by machine")
+            Invariants.reportViolation("ledger_sums", "$byJob placements by job, $byMachine by machine")
         }
     }
 }
--- a/src/main/kotlin/topazvale/reconcile/PlanningLoop.kt
+++ b/src/main/kotlin/topazvale/reconcile/PlanningLoop.kt
@@ -43,8 +43,8 @@
 
     /** Makes one plan and carries it out. */
     fun plan(watchAge: Duration) {
-        val provisionNow = provisioning.open && provisionedAt.elapsedNow() >= PROVISION_INTERVAL
-        val snapshot = snapshots.take(clocks.now(), provisionNow)
+        val provisionNow = provisioning.acceptsRequests && provisionedAt.elapsedNow() >= PROVISION_INTERVAL
+        val snapshot = snapshots.build(clocks.now(), provisionNow)
         val plan = placement.plan(snapshot)
         val placed = plan.assignments.flatMap(::assign)
         starts.record(placed)
@@ -56,7 +56,7 @@
 
     private fun rent(snapshot: Snapshot, plan: PlacementPlan) {
         provisionedAt = clocks.mark()
-        provisioning.want(provisioner.rents(snapshot, plan, provisioning.refused(), MOST_RENTED))
+        provisioning.submit(provisioner.rents(snapshot, plan, provisioning.refused(), MOST_RENTED))
     }
 
     private fun returnIdle(snapshot: Snapshot, plan: PlacementPlan) {
@@ -73,7 +73,7 @@
         val job = cluster.jobs.getValue(assignment.job)
         val machine = cluster.machines.getValue(assignment.host)
         // All tasks of a gang share an attempt number, by which they find one another.
-        if (!job.spec.isGang || job.placed.isEmpty()) attempts++
+        if (!job.spec.isGang || job.placements.isEmpty()) attempts++
         val placed = job.nextTasks(assignment.tasks).map { index ->
             // The token makes attempts of different terms different.
             val start = Start(TaskId(assignment.job, index), Attempts.of(token, attempts))
--- a/src/main/kotlin/topazvale/reconcile/ProvisioningLoop.kt
+++ b/src/main/kotlin/topazvale/reconcile/ProvisioningLoop.kt
@@ -39,10 +39,10 @@
     private val workRequests = Channel<Unit>(Channel.CONFLATED)
 
     /** False while rents are on their way: what is worked out then does not know of them yet. */
-    val open: Boolean get() = !renting && wanted.isEmpty() && listedAt != null
+    val acceptsRequests: Boolean get() = !renting && wanted.isEmpty() && listedAt != null
 
     /** Hands over what the last plan wants to rent. */
-    fun want(rents: List<Rent>) {
+    fun submit(rents: List<Rent>) {
         wanted = rents
         if (rents.isNotEmpty() || cluster.machines.values.any { it.returning }) workRequests.trySend(Unit)
     }
--- a/src/main/kotlin/topazvale/reconcile/ReportProcessor.kt
+++ b/src/main/kotlin/topazvale/reconcile/ReportProcessor.kt
@@ -47,7 +47,7 @@
 
     /** A task is proven to be gone without a report of its exit. */
     fun lost(placed: PlacedTask, proof: AbsenceProof) {
-        decisions.absent(placed, proof)
+        decisions.confirmedAbsent(placed, proof)
         cluster.remove(placed, reported = false)
         cluster.jobs[placed.start.task.job]?.let(cluster::publishCounts)
     }
@@ -115,8 +115,8 @@
         val stray = cluster.place(task.start, machine, report.session, PlacementOrigin.STRAY)
         stray.state = task.state
         stray.stop = Duration.ZERO
-        decisions.strayFound(stray, report, job != null, besides.map { it.machine.host })
-        ClusterMetrics.strayFound()
+        decisions.orphanFound(stray, report, job != null, besides.map { it.machine.host })
+        ClusterMetrics.orphanFound()
         return true
     }
 
--- a/src/main/kotlin/topazvale/reconcile/RunTimes.kt
+++ b/src/main/kotlin/topazvale/reconcile/RunTimes.kt
@@ -8,7 +8,7 @@
     private val lastTwo = HashMap<Pair<String, String>, ArrayDeque<Duration>>()
 
     /** A task of the job has run for this long. */
-    fun finished(spec: JobSpec, ran: Duration) {
+    fun recordRun(spec: JobSpec, ran: Duration) {
         val past = lastTwo.getOrPut(spec.team to spec.queue) { ArrayDeque() }
         past.addLast(ran)
         if (past.size > 2) past.removeFirst()
--- a/src/main/kotlin/topazvale/reconcile/SilentMachines.kt
+++ b/src/main/kotlin/topazvale/reconcile/SilentMachines.kt
@@ -16,9 +16,9 @@
 
     private fun giveUp(machine: ManagedMachine) {
         val grounds = machine.lease.grounds(leaseRules)
-        if (machine.lease.mayRun(leaseRules)) Invariants.violated("early_give_up", "${machine.host}: $grounds")
-        decisions.givenUp(machine, grounds)
-        if (grounds.age != null) ClusterMetrics.machineGivenUp(grounds.age - grounds.lease)
+        if (machine.lease.mayRun(leaseRules)) Invariants.reportViolation("early_give_up", "${machine.host}: $grounds")
+        decisions.machineLost(machine, grounds)
+        if (grounds.age != null) ClusterMetrics.machineLost(grounds.age - grounds.lease)
         val proof = AbsenceProof.LeaseEnded(grounds)
         machine.placed.values.toList().forEach { reports.lost(it, proof) }
     }
--- a/src/main/kotlin/topazvale/reconcile/SnapshotBuilder.kt
+++ b/src/main/kotlin/topazvale/reconcile/SnapshotBuilder.kt
@@ -10,7 +10,7 @@
 import kotlin.time.Instant
 
 /** The moment of a snapshot, by both clocks, with the run times as they are expected then. */
-internal class Moment(val now: Instant, val mark: ComparableTimeMark, private val runTimes: RunTimes) {
+internal class SnapshotContext(val now: Instant, val mark: ComparableTimeMark, private val runTimes: RunTimes) {
     private val estimates = HashMap<String, Duration>()
 
     /** How long a task of the job is expected to run. */
@@ -29,13 +29,13 @@
     private val machines = MachineSnapshots(settings, cluster, token)
     private var mostPerGpu = 0.0
 
-    /** [renting]: what only the provisioner looks at is wanted too. */
-    fun take(now: Instant, renting: Boolean): Snapshot {
-        val moment = Moment(now, clocks.mark(), runTimes)
+    /** [forProvisioning]: what only the provisioner looks at is wanted too. */
+    fun build(now: Instant, forProvisioning: Boolean): Snapshot {
+        val context = SnapshotContext(now, clocks.mark(), runTimes)
         return Snapshot(
             now = now,
-            jobs = jobs.waiting(moment),
-            machines = machines.all(moment),
+            jobs = jobs.waiting(context),
+            machines = machines.all(context),
             types = cluster.types,
             teams = settings.teams,
             usage = cluster.usage(),
@@ -45,7 +45,7 @@
             services = jobs.services(now),
             running = count({ it.image }) { it.onMachine && it.stop == null && !isReplica(it) },
             placed = count({ it.queue }) { true },
-            misplaced = if (renting) misplaced() else emptyList(),
+            misplaced = if (forProvisioning) misplaced() else emptyList(),
         )
     }
 
@@ -60,7 +60,7 @@
 
     private fun count(by: (JobSpec) -> String, which: (PlacedTask) -> Boolean): Map<String, Int> {
         val counts = HashMap<String, Int>()
-        for (job in cluster.jobs.values) counts.merge(by(job.spec), job.placed.all.count(which), Int::plus)
+        for (job in cluster.jobs.values) counts.merge(by(job.spec), job.placements.all.count(which), Int::plus)
         return counts
     }
 
--- a/src/main/kotlin/topazvale/reconcile/TaskExits.kt
+++ b/src/main/kotlin/topazvale/reconcile/TaskExits.kt
@@ -15,7 +15,7 @@
 ) {
     /** The worker has reported the exit; [job] is null for one that is over. */
     fun exited(placed: PlacedTask, job: ManagedJob?, cause: ExitCause) {
-        decisions.absent(placed, AbsenceProof.Exited(cause))
+        decisions.confirmedAbsent(placed, AbsenceProof.Exited(cause))
         if (mayBeCommandedAgain(placed)) placed.machine.keptStarts += placed.start
         cluster.remove(placed, reported = true)
         if (job == null) return
@@ -35,9 +35,9 @@
         placed.unsettled || (placed.isStray && Attempts.termOf(placed.start.attempt) == token)
 
     private fun done(placed: PlacedTask, job: ManagedJob) {
-        placed.runningSince?.let { runTimes.finished(job.spec, it.elapsedNow()) }
+        placed.runningSince?.let { runTimes.recordRun(job.spec, it.elapsedNow()) }
         placed.machine.faults = 0
-        job.succeeded()
+        job.recordSuccess()
         val tasks = if (job.spec.isGang) 0 until job.spec.tasks else listOf(placed.start.task.index)
         for (index in tasks) cluster.markDone(job, index)
     }
@@ -46,16 +46,16 @@
         if (job.spec.isService) {
             replicaEnded(placed, job)
         } else {
-            job.failures++
-            job.notBefore = clocks.mark() + backoff(job.failures)
+            job.consecutiveFailures++
+            job.notBefore = clocks.mark() + backoff(job.consecutiveFailures)
         }
-        if (job.failedOn(placed.machine.host)) placed.machine.faults++
+        if (job.recordFailure(placed.machine.host)) placed.machine.faults++
     }
 
     /** A worker that keeps a result would end the replica again at once: it rests, and the others go on. */
     private fun replicaEnded(placed: PlacedTask, job: ManagedJob) {
         val ran = placed.runningSince?.elapsedNow() ?: Duration.ZERO
-        job.replicaEnded(placed.start.task.index, ran, clocks.mark(), ::backoff)
+        job.recordReplicaExit(placed.start.task.index, ran, clocks.mark(), ::backoff)
     }
 
     private companion object {
--- a/src/main/kotlin/topazvale/reconcile/TaskStopper.kt
+++ b/src/main/kotlin/topazvale/reconcile/TaskStopper.kt
@@ -16,13 +16,13 @@
      * [reportedCancelled]: jobs that users were told are cancelled, by any controller. To stop a task needs no
      * certainty of leading.
      */
-    fun stopUnwanted(reportedCancelled: Set<String>) {
-        for (job in cluster.jobs.values) job.reportedCancelled = job.spec.id in reportedCancelled
+    fun requestStops(reportedCancelled: Set<String>) {
+        for (job in cluster.jobs.values) job.isReportedCancelled = job.spec.id in reportedCancelled
         for (job in cluster.jobs.values) {
-            if (job.placed.isEmpty()) continue
-            val broken = job.spec.isGang && !job.complete && job.placed.tasks.size < job.spec.tasks
-            val reason = if (job.wanted) StopReason.GANG_BROKEN else StopReason.JOB_OVER
-            if (!job.wanted || broken) job.placed.all.forEach { stop(it, Duration.ZERO, reason) }
+            if (job.placements.isEmpty()) continue
+            val broken = job.spec.isGang && !job.isComplete && job.placements.tasks.size < job.spec.tasks
+            val reason = if (job.shouldRun) StopReason.GANG_BROKEN else StopReason.JOB_OVER
+            if (!job.shouldRun || broken) job.placements.all.forEach { stop(it, Duration.ZERO, reason) }
         }
         for (machine in cluster.machines.values) if (machine.noticeEndsAt != null) drain(machine)
     }
@@ -33,7 +33,7 @@
             val job = cluster.jobs[placed.start.task.job]
             if (job != null && placed.stop == null && gainsByStop(placed, job.spec)) {
                 val grace = saving(placed)
-                val stopped = if (job.spec.isGang) job.placed.all else listOf(placed)
+                val stopped = if (job.spec.isGang) job.placements.all else listOf(placed)
                 stopped.forEach { stop(it, grace, StopReason.MACHINE_TAKEN) }
             }
         }
@@ -44,7 +44,7 @@
 
     /** Stops a task to make room for a job of higher rank. */
     fun preempt(start: Start) {
-        val placements = cluster.jobs[start.task.job]?.placed?.of(start.task.index).orEmpty()
+        val placements = cluster.jobs[start.task.job]?.placements?.of(start.task.index).orEmpty()
         val placed = placements.firstOrNull { it.start == start } ?: return
         stop(placed, saving(placed), StopReason.PREEMPTED)
     }
@@ -59,7 +59,7 @@
         val before = placed.stop
         if (before != null && grace >= before) return
         placed.stop = grace
-        decisions.stopped(placed, reason, grace)
+        decisions.stopRequested(placed, reason, grace)
         directCommands.due(placed.machine)
     }
 
--- a/src/test/kotlin/topazvale/reconcile/JobEndRacesTest.kt
+++ b/src/test/kotlin/topazvale/reconcile/JobEndRacesTest.kt
@@ -139,7 +139,7 @@
             scope.launch { lifecycle.watch(from, clocks.mark()) }
         }
 
-        suspend fun end() = lifecycle.end { }
+        suspend fun end() = lifecycle.finalizeJobs { }
 
         suspend fun until(reached: () -> Boolean) {
             while (!reached()) delay(20.milliseconds)
--- a/src/test/kotlin/topazvale/reconcile/JobLifecycleTest.kt
+++ b/src/test/kotlin/topazvale/reconcile/JobLifecycleTest.kt
@@ -60,7 +60,7 @@
         backgroundScope.launch { lifecycle.watch(store.revision, clocks.mark()) }
         delay(100.milliseconds)
         for (index in 0 until job.spec.tasks) cluster.markDone(job, index)
-        lifecycle.end { }
+        lifecycle.finalizeJobs { }
         assertEquals(emptySet<String>(), cluster.jobs.keys, "it is over")
         delay(2.seconds)
         assertEquals(emptySet<String>(), cluster.jobs.keys, "and stays so")
--- a/src/test/kotlin/topazvale/reconcile/JobRegistryTest.kt
+++ b/src/test/kotlin/topazvale/reconcile/JobRegistryTest.kt
@@ -52,14 +52,14 @@
         for ((version, status, news) in cases) {
             assertEquals(
                 news,
-                registry.recorded(record("job-1", status), version, RecordSource.EVENT),
+                registry.applyRecord(record("job-1", status), version, RecordSource.EVENT),
                 "$version $status",
             )
         }
-        registry.ended("job-1", 8, RecordSource.READ)
+        registry.markEnded("job-1", 8, RecordSource.READ)
         for (source in RecordSource.entries) {
             for (version in listOf(5L, 7L)) {
-                assertEquals(false, registry.recorded(record("job-1"), version, source), "$source $version")
+                assertEquals(false, registry.applyRecord(record("job-1"), version, source), "$source $version")
             }
         }
         assertEquals(emptySet<String>(), registry.jobs.keys)
@@ -68,36 +68,36 @@
     @Test
     fun `the end of a job is remembered until nothing from before it can arrive`() = runTest {
         registry.add(record("job-1"), 5, RecordSource.REBUILD)
-        registry.provenUpTo(9)
-        registry.ended("job-1", 12, RecordSource.READ)
-        assertEquals(1, registry.rememberedEnds, "the watch has not told of it yet")
+        registry.advanceWatchRevision(9)
+        registry.markEnded("job-1", 12, RecordSource.READ)
+        assertEquals(1, registry.tombstoneCount, "the watch has not told of it yet")
         val listed = CompletableDeferred<Unit>()
-        val listing = launch { registry.reading(RecordSource.LIST) { listed.await() } }
+        val listing = launch { registry.withPendingRead(RecordSource.LIST) { listed.await() } }
         runCurrent()
-        registry.provenUpTo(11)
-        assertEquals(1, registry.rememberedEnds)
-        registry.provenUpTo(15)
-        assertEquals(1, registry.rememberedEnds, "a listing from before the end is under way")
-        assertEquals(false, registry.recorded(record("job-1"), 5, RecordSource.LIST))
+        registry.advanceWatchRevision(11)
+        assertEquals(1, registry.tombstoneCount)
+        registry.advanceWatchRevision(15)
+        assertEquals(1, registry.tombstoneCount, "a listing from before the end is under way")
+        assertEquals(false, registry.applyRecord(record("job-1"), 5, RecordSource.LIST))
         listed.complete(Unit)
         listing.join()
-        assertEquals(0, registry.rememberedEnds)
-        registry.ended("job-2", 14, RecordSource.EVENT)
-        assertEquals(0, registry.rememberedEnds, "one that the watch is past is not worth remembering")
+        assertEquals(0, registry.tombstoneCount)
+        registry.markEnded("job-2", 14, RecordSource.EVENT)
+        assertEquals(0, registry.tombstoneCount, "one that the watch is past is not worth remembering")
     }
 
     /** A reading that was broken off, with its term or by a failure, holds nothing back. */
     @Test
     fun `the memory does not grow with the jobs that have ended`() = runTest {
-        val broken = launch { registry.reading(RecordSource.LIST) { delay(Duration.INFINITE) } }
+        val broken = launch { registry.withPendingRead(RecordSource.LIST) { delay(Duration.INFINITE) } }
         runCurrent()
         broken.cancel()
         broken.join()
         for (i in 1..10_000L) {
             registry.add(record("job-$i"), 2 * i, RecordSource.EVENT)
-            registry.ended("job-$i", 2 * i + 1, RecordSource.READ)
-            if (i % 50 == 0L) registry.provenUpTo(2 * i)
-            assertTrue(registry.rememberedEnds <= 51, "${registry.rememberedEnds} after $i jobs")
+            registry.markEnded("job-$i", 2 * i + 1, RecordSource.READ)
+            if (i % 50 == 0L) registry.advanceWatchRevision(2 * i)
+            assertTrue(registry.tombstoneCount <= 51, "${registry.tombstoneCount} after $i jobs")
         }
     }
 
@@ -106,16 +106,16 @@
     fun `a job that comes back after its end is a violation, remembered or not`() {
         val before = InvariantExtension.violations()
         registry.add(record("job-1"), 5, RecordSource.EVENT)
-        registry.ended("job-1", 8, RecordSource.READ)
+        registry.markEnded("job-1", 8, RecordSource.READ)
         assertEquals(before, InvariantExtension.violations())
         registry.add(record("job-1"), 5, RecordSource.EVENT)
         assertEquals(before + 1, InvariantExtension.violations(), "its end is remembered")
-        registry.ended("job-1", 8, RecordSource.READ)
-        registry.provenUpTo(20)
-        assertEquals(0, registry.rememberedEnds)
+        registry.markEnded("job-1", 8, RecordSource.READ)
+        registry.advanceWatchRevision(20)
+        assertEquals(0, registry.tombstoneCount)
         val beforeSecond = InvariantExtension.violations()
         registry.add(record("job-1"), 5, RecordSource.EVENT)
-        registry.ended("job-1", 8, RecordSource.READ)
+        registry.markEnded("job-1", 8, RecordSource.READ)
         assertEquals(beforeSecond + 1, InvariantExtension.violations(), "its end is found to be older than its coming")
     }
 
@@ -146,7 +146,7 @@
         val deletion = Event(Keys.job("job-1"), null, 6)
         watching(Events(listOf(event("job-2", 9), deletion, event("job-1", 4)), 9)) {
             assertEquals(setOf("job-2"), registry.jobs.keys)
-            assertEquals(0, registry.rememberedEnds)
+            assertEquals(0, registry.tombstoneCount)
         }
     }
 
@@ -154,6 +154,6 @@
     @Test
     fun `an empty answer that comes early proves nothing of the rest of the wait`() =
         watching(Events(emptyList(), 3)) { watch ->
-            assertTrue(watch.seen.elapsedNow() >= 900.milliseconds, "seen ${watch.seen.elapsedNow()} ago")
+            assertTrue(watch.currentAsOf.elapsedNow() >= 900.milliseconds, "seen ${watch.currentAsOf.elapsedNow()} ago")
         }
 }
--- a/src/test/kotlin/topazvale/reconcile/PlacementLedgerTest.kt
+++ b/src/test/kotlin/topazvale/reconcile/PlacementLedgerTest.kt
@@ -41,12 +41,12 @@
                 place("n-2", 4, PlacementOrigin.STRAY, job.spec.id),
             )
             val order = if (firstGoesFirst) placements else placements.reversed()
-            assertEquals(2, job.placed.size)
+            assertEquals(2, job.placements.size)
             cluster.remove(order[0], reported = true)
-            assertTrue(0 in job.placed, "$firstGoesFirst")
-            assertEquals(listOf(order[1]), job.placed.of(0))
+            assertTrue(0 in job.placements, "$firstGoesFirst")
+            assertEquals(listOf(order[1]), job.placements.of(0))
             cluster.remove(order[1], reported = true)
-            assertFalse(0 in job.placed, "$firstGoesFirst")
+            assertFalse(0 in job.placements, "$firstGoesFirst")
             assertEquals(emptyMap<String, Resources>(), cluster.usage())
         }
     }
@@ -55,7 +55,7 @@
     fun `what is left of a job that is over takes of its team's limit until it is gone`() {
         job("job-1")
         val stray = place("n-1", 4, PlacementOrigin.STRAY)
-        cluster.registry.ended("job-1", revision = 2, RecordSource.READ)
+        cluster.registry.markEnded("job-1", revision = 2, RecordSource.READ)
         assertEquals(mapOf("red" to Samples.array.need), cluster.usage())
         cluster.remove(stray, reported = true)
         assertEquals(emptyMap<String, Resources>(), cluster.usage())
@@ -65,7 +65,7 @@
     fun `a job that becomes known has the placements that were found before`() {
         val stray = place("n-1", 4, PlacementOrigin.STRAY)
         assertTrue(cluster.machines.getValue("n-1").holdsUnknown, "nobody knows what it takes")
-        assertTrue(0 in job("job-1").placed)
+        assertTrue(0 in job("job-1").placements)
         cluster.remove(stray, reported = true)
         assertFalse(cluster.machines.getValue("n-1").holdsUnknown)
     }
--- a/src/test/kotlin/topazvale/reconcile/RebuildTest.kt
+++ b/src/test/kotlin/topazvale/reconcile/RebuildTest.kt
@@ -190,7 +190,7 @@
         runBlocking {
             withTimeout(10.seconds) { repeat(6) { leader.records.flushSpare() } }
             assertEquals(13, store.values.keys.count { it.startsWith(Keys.CHUNKS) })
-            JobLifecycle(state, leader.records, leader.cluster, Clocks.SYSTEM) {}.end {}
+            JobLifecycle(state, leader.records, leader.cluster, Clocks.SYSTEM) {}.finalizeJobs {}
             assertEquals("DONE", store.get(Keys.final(large.id))?.data?.get("status"))
             assertTrue(store.values.keys.any { it.startsWith(Keys.CHUNKS) }, "not all at once")
             withTimeout(10.seconds) { repeat(6) { leader.records.flushSpare() } }
--- a/src/test/kotlin/topazvale/reconcile/ReportProcessorTest.kt
+++ b/src/test/kotlin/topazvale/reconcile/ReportProcessorTest.kt
@@ -50,7 +50,7 @@
             if (inherited) starts.inherited(placed, StartBatch("s/1-1")) else starts.record(listOf(placed))
         }
 
-        val there: Boolean get() = 0 in job.placed
+        val there: Boolean get() = 0 in job.placements
         val machine get() = cluster.machines["n-1"]
     }
 
@@ -203,8 +203,8 @@
         leader.reports.take(report(3, 6, 7, exited), ReportSource.ANSWERED)
         assertEquals(Samples.array.need, leader.cluster.usage()["red"], "the stray is still there")
         assertEquals(listOf(1, 2, 3), leader.job.nextTasks(9), "its task must not start beside it")
-        assertEquals(3, leader.job.pending)
-        assertFalse(leader.job.placed.isEmpty(), "nor may the job end")
+        assertEquals(3, leader.job.pendingTasks)
+        assertFalse(leader.job.placements.isEmpty(), "nor may the job end")
         leader.reports.take(Report("n-2", "127.0.0.1:2", market, 1, 2, 7, null, emptyList()), ReportSource.ANSWERED)
         assertEquals(listOf(0, 1, 2, 3), leader.job.nextTasks(9))
         assertEquals(null, leader.cluster.usage()["red"])
@@ -240,7 +240,9 @@
                 val failed = starts.map { ReportedTask(it, TaskState.EXITED, ExitCause.ERROR, false) }
                 leader.reports.take(Report(host, "127.0.0.1:1", market, 1, 1, 7, null, failed), ReportSource.ANSWERED)
             }
-            val faulty = hosts.filter { leader.cluster.machines.getValue(it).faults >= MachineSnapshots.FAULTS }
+            val faulty = hosts.filter {
+                leader.cluster.machines.getValue(it).faults >= MachineSnapshots.MAX_CONSECUTIVE_FAILURES
+            }
             assertEquals(listOf("n-2", "n-3"), faulty, "${spec.shape}")
         }
     }
--- a/src/test/kotlin/topazvale/reconcile/SnapshotBuilderTest.kt
+++ b/src/test/kotlin/topazvale/reconcile/SnapshotBuilderTest.kt
@@ -31,7 +31,7 @@
             placed.state = TaskState.RUNNING
         }
         val builder = SnapshotBuilder(Settings.parse(SettingsTest.TEXT), cluster, 7, RunTimes(), Clocks.SYSTEM)
-        val snapshot = builder.take(Samples.now, renting = false)
+        val snapshot = builder.build(Samples.now, forProvisioning = false)
         assertEquals(Samples.service.image, Samples.array.image)
         assertEquals(mapOf(Samples.array.image to 1), snapshot.running)
     }
