--- a/src/main/kotlin/topazvale/reconcile/JobSnapshots.kt
+++ b/src/main/kotlin/topazvale/reconcile/JobSnapshots.kt
@@ -35,10 +35,10 @@
             spec = spec,
             submitted = job.record.submitted,
             deadline = job.record.deadline,
-            pending = job.pendingTasks,
-            placedIn = if (isBoundByZones(spec)) count(job) { it.market.zone } else emptyMap(),
-            placedOn = if (spec.isService) count(job) { it.host } else emptyMap(),
-            begun = job.placements.isNotEmpty() || job.doneCount > 0,
+            pendingTasks = job.pendingTasks,
+            placedByZone = if (isBoundByZones(spec)) count(job) { it.market.zone } else emptyMap(),
+            placedByHost = if (spec.isService) count(job) { it.host } else emptyMap(),
+            hasStarted = job.placements.isNotEmpty() || job.doneCount > 0,
             estimate = context.estimate(spec),
             withinGuarantee = guaranteed,
         )
@@ -52,9 +52,9 @@
     private fun load(jobs: List<ManagedJob>, now: Instant): ServiceLoad {
         val recent = jobs.filter { now - it.record.submitted < ARRIVALS_WINDOW }
         return ServiceLoad(
-            sample = jobs.last().spec,
-            largest = jobs.maxOf { it.spec.tasks },
-            perSecond = recent.sumOf { it.spec.tasks } / ARRIVALS_WINDOW.inWholeSeconds.toDouble(),
+            sampleSpec = jobs.last().spec,
+            largestReplicaCount = jobs.maxOf { it.spec.tasks },
+            replicasPerSecond = recent.sumOf { it.spec.tasks } / ARRIVALS_WINDOW.inWholeSeconds.toDouble(),
         )
     }
 
--- a/src/main/kotlin/topazvale/reconcile/MachineSnapshots.kt
+++ b/src/main/kotlin/topazvale/reconcile/MachineSnapshots.kt
@@ -35,11 +35,11 @@
             market = machine.market,
             type = type,
             free = if (machine.holdsUnknown) Resources.NONE else type.capacity - machine.used,
-            starts = MOST_STARTS - machine.placed.size,
+            startSlots = MOST_STARTS - machine.placed.size,
             up = up,
             readyIn = if (present) Duration.ZERO else (ready - context.now).coerceAtLeast(Duration.ZERO),
             images = machine.images,
-            arriving = machine.arriving,
+            fetchingImages = machine.arriving,
             releases = if (up) releases(machine, context) else NO_RELEASES,
             idleFor = if (machine.placed.isEmpty()) context.mark - machine.idleSince else null,
         )
@@ -72,9 +72,9 @@
             return CapacityRelease(
                 placed.start,
                 placed.need,
-                within = Duration.ZERO,
+                expectedIn = Duration.ZERO,
                 stopping = placed.stop != null,
-                pressing = true,
+                mustStartNow = true,
             )
         }
         val ran = placed.runningSince?.let { context.mark - it } ?: Duration.ZERO
@@ -82,11 +82,11 @@
         return CapacityRelease(
             placed.start,
             placed.need,
-            within = within(job.spec, placed, estimate - ran),
+            expectedIn = within(job.spec, placed, estimate - ran),
             rank = job.spec.rank,
-            lost = if (isSpared(job, context)) null else lost(job.spec, ran),
+            lostWork = if (isSpared(job, context)) null else lost(job.spec, ran),
             stopping = placed.stop != null,
-            pressing = JobOrder.pressing(job.record.deadline, estimate, context.now),
+            mustStartNow = JobOrder.mustStartNow(job.record.deadline, estimate, context.now),
         )
     }
 
@@ -95,7 +95,7 @@
 
     /** A job that got its first share by its age would lose it at once to those it went before. */
     private fun isSpared(job: ManagedJob, context: SnapshotContext): Boolean {
-        val aged = context.now - job.record.submitted > JobOrder.PATIENCE
+        val aged = context.now - job.record.submitted > JobOrder.STARVATION_THRESHOLD
         return job.spec.isGang || (job.doneCount == 0 && !job.spec.isService && aged)
     }
 
--- a/src/main/kotlin/topazvale/reconcile/PlanningLoop.kt
+++ b/src/main/kotlin/topazvale/reconcile/PlanningLoop.kt
@@ -3,12 +3,12 @@
 import topazvale.model.Start
 import topazvale.model.TaskId
 import topazvale.scheduler.Assignment
-import topazvale.scheduler.LowestInWindow
 import topazvale.scheduler.Placement
 import topazvale.scheduler.PlacementPlan
 import topazvale.scheduler.Provisioner
 import topazvale.scheduler.Snapshot
 import topazvale.scheduler.UrgencySlack
+import topazvale.scheduler.WindowMinimumBid
 import kotlin.time.ComparableTimeMark
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
@@ -31,7 +31,7 @@
     private val token = context.term.token
     private val clocks = context.clocks
     private val tuning = context.settings.tuning
-    private val bids = LowestInWindow(tuning.bidWindow, tuning.bidStep)
+    private val bids = WindowMinimumBid(tuning.bidWindow, tuning.bidStep)
     private val placement = Placement()
     private val provisioner = Provisioner(UrgencySlack(tuning.alpha, tuning.bootAllowance), bids, tuning.keep)
     private val snapshots = SnapshotBuilder(context.settings, cluster, token, runTimes, clocks)
@@ -56,11 +56,11 @@
 
     private fun rent(snapshot: Snapshot, plan: PlacementPlan) {
         provisionedAt = clocks.mark()
-        provisioning.submit(provisioner.rents(snapshot, plan, provisioning.refused(), MOST_RENTED))
+        provisioning.submit(provisioner.planRentals(snapshot, plan, provisioning.refused(), MOST_RENTED))
     }
 
     private fun returnIdle(snapshot: Snapshot, plan: PlacementPlan) {
-        for (host in provisioner.returns(snapshot, plan.reserved)) {
+        for (host in provisioner.planReturns(snapshot, plan.reservedHosts)) {
             val machine = cluster.machines[host]
             // The plan itself may have placed something there.
             if (machine == null || machine.placed.isNotEmpty()) continue
--- a/src/main/kotlin/topazvale/reconcile/ProvisioningLoop.kt
+++ b/src/main/kotlin/topazvale/reconcile/ProvisioningLoop.kt
@@ -6,7 +6,7 @@
 import topazvale.cloud.Rental
 import topazvale.model.Market
 import topazvale.scheduler.BidStrategy
-import topazvale.scheduler.Rent
+import topazvale.scheduler.RentalRequest
 import kotlin.time.ComparableTimeMark
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
@@ -28,7 +28,7 @@
     private val inventory = MachineInventory(settings, cluster, clocks, decisions)
     private val listInterval = maxOf(settings.cloudLimits.listLag, LEAST_LIST_INTERVAL)
     private val refusedUntil = HashMap<Market, ComparableTimeMark>()
-    private var wanted: List<Rent> = emptyList()
+    private var wanted: List<RentalRequest> = emptyList()
     private var bookings = 0L
     private var listedAt: ComparableTimeMark? = null
     private var pricedAt: ComparableTimeMark? = null
@@ -42,7 +42,7 @@
     val acceptsRequests: Boolean get() = !renting && wanted.isEmpty() && listedAt != null
 
     /** Hands over what the last plan wants to rent. */
-    fun submit(rents: List<Rent>) {
+    fun submit(rents: List<RentalRequest>) {
         wanted = rents
         if (rents.isNotEmpty() || cluster.machines.values.any { it.returning }) workRequests.trySend(Unit)
     }
@@ -68,7 +68,7 @@
         pricedAt = clocks.mark()
         cluster.types = types.associateBy { it.name }
         val now = clocks.now()
-        for (type in types) bids.seen(type.name, type.spotPrice, now)
+        for (type in types) bids.recordPrice(type.name, type.spotPrice, now)
         context.requestPlan()
     }
 
@@ -94,7 +94,7 @@
     private fun callSizes(count: Int): List<Int> =
         (List(count / mostPerCall) { mostPerCall } + count % mostPerCall).filter { it > 0 }
 
-    private suspend fun rent(rent: Rent) {
+    private suspend fun rent(rent: RentalRequest) {
         // Names are never used twice: the token is this term's own.
         val booking = "r-${term.token}-${++bookings}"
         repeat(RENT_ATTEMPTS) {
@@ -108,7 +108,7 @@
         }
     }
 
-    private fun rented(booking: String, rent: Rent, hosts: List<String>) {
+    private fun rented(booking: String, rent: RentalRequest, hosts: List<String>) {
         decisions.rented(booking, rent.market, rent.count, hosts, term.renewed.elapsedNow())
         cluster.add(booking, rent.market, clocks.now(), hosts, rentedByUs = true)
         if (hosts.size < rent.count) refuse(rent.market)
--- a/src/main/kotlin/topazvale/reconcile/SnapshotBuilder.kt
+++ b/src/main/kotlin/topazvale/reconcile/SnapshotBuilder.kt
@@ -43,9 +43,9 @@
             objectives = settings.objectives,
             cpusPerGpu = cpusPerGpu(),
             services = jobs.services(now),
-            running = count({ it.image }) { it.onMachine && it.stop == null && !isReplica(it) },
-            placed = count({ it.queue }) { true },
-            misplaced = if (forProvisioning) misplaced() else emptyList(),
+            runningByImage = count({ it.image }) { it.onMachine && it.stop == null && !isReplica(it) },
+            placedByQueue = count({ it.queue }) { true },
+            gpuWastingJobs = if (forProvisioning) misplaced() else emptyList(),
         )
     }
 
--- a/src/main/kotlin/topazvale/scheduler/BidStrategy.kt
+++ b/src/main/kotlin/topazvale/scheduler/BidStrategy.kt
@@ -6,19 +6,19 @@
 /** The highest spot price at which a machine is rented. The cloud takes no bid, so that we hold ourselves to it. */
 interface BidStrategy {
     /** A spot price was seen. */
-    fun seen(type: String, price: Double, now: Instant)
+    fun recordPrice(type: String, price: Double, now: Instant)
 
     /** The ceiling while [urgent] is false, and where it is true. */
     fun bid(type: String, current: Double, urgent: Boolean, now: Instant): Double
 }
 
 /** The lowest price of the last [window] plus a step; for urgent work the current price plus a step. */
-class LowestInWindow(private val window: Duration, private val step: Double) : BidStrategy {
+class WindowMinimumBid(private val window: Duration, private val step: Double) : BidStrategy {
     private data class Seen(val at: Instant, val price: Double)
 
     private val history = HashMap<String, ArrayDeque<Seen>>()
 
-    override fun seen(type: String, price: Double, now: Instant) {
+    override fun recordPrice(type: String, price: Double, now: Instant) {
         val past = history.getOrPut(type) { ArrayDeque() }
         while (past.isNotEmpty() && past.first().at < now - window) past.removeFirst()
         // A price that stands is kept once: only its lowest value counts.
--- a/src/main/kotlin/topazvale/scheduler/Candidate.kt
+++ b/src/main/kotlin/topazvale/scheduler/Candidate.kt
@@ -15,7 +15,7 @@
     /** Held for gangs that need more before they can start. */
     var held = Resources.NONE
         private set
-    var starts: Int = machine.starts
+    var starts: Int = machine.startSlots
         private set
     private var fetching: HashMap<String, Double>? = null
 
@@ -33,15 +33,15 @@
     /** How long a task would wait for its image. Images that are fetched at the same time share the rate. */
     fun fetchSeconds(spec: JobSpec): Double {
         val own = fetching
-        val asked = spec.image in machine.arriving || own?.containsKey(spec.image) == true
+        val asked = spec.image in machine.fetchingImages || own?.containsKey(spec.image) == true
         if (!asked && spec.image in machine.images) return 0.0
-        val queued = machine.arriving.values.sum() + (own?.values?.sum() ?: 0.0)
+        val queued = machine.fetchingImages.values.sum() + (own?.values?.sum() ?: 0.0)
         return (if (asked) queued else queued + spec.imageGb) / machine.type.fetchGbPerS
     }
 
     /** Whether another image is on its way: a second one would make both late. */
     fun fetchesOther(spec: JobSpec): Boolean =
-        machine.arriving.keys.any { it != spec.image } || fetching?.keys?.any { it != spec.image } == true
+        machine.fetchingImages.keys.any { it != spec.image } || fetching?.keys?.any { it != spec.image } == true
 
     /** Tasks of the job are placed here. */
     fun take(spec: JobSpec, tasks: Int) {
@@ -70,8 +70,8 @@
      * the machine, would be back at once, and so on without end.
      */
     fun victims(spec: JobSpec): List<CapacityRelease> = machine.releases.value.filter {
-        val spared = it.need.gpus > 0.0 && spec.need.gpus == 0.0 && (gpusWanted || it.pressing)
-        val yields = it.lost != null && it.rank < spec.rank && !spared
+        val spared = it.need.gpus > 0.0 && spec.need.gpus == 0.0 && (gpusWanted || it.mustStartNow)
+        val yields = it.lostWork != null && it.rank < spec.rank && !spared
         (it.stopping || yields) && it !in claimed
     }
 
--- a/src/main/kotlin/topazvale/scheduler/CandidateSelection.kt
+++ b/src/main/kotlin/topazvale/scheduler/CandidateSelection.kt
@@ -49,7 +49,7 @@
     }
 
     private fun inOneZone(job: WaitingJob, tasks: Int, options: List<Option>): List<Pick> {
-        val fixed = job.placedIn.keys.firstOrNull()
+        val fixed = job.placedByZone.keys.firstOrNull()
         val zones = options.groupBy { it.zone }.filterKeys { fixed == null || it == fixed }.values
         val whole = zones.filter { zone -> zone.sumOf { it.tasks } >= tasks }
         if (whole.isEmpty()) {
@@ -67,8 +67,8 @@
      * image has to be fetched first, is worse.
      */
     private fun apart(job: WaitingJob, tasks: Int, options: List<Option>): List<Pick> {
-        val inZone = HashMap(job.placedIn)
-        val onHost = HashMap(job.placedOn)
+        val inZone = HashMap(job.placedByZone)
+        val onHost = HashMap(job.placedByHost)
         val picked = LinkedHashMap<Option, Int>()
         fun open(option: Option) =
             (picked[option] ?: 0) < option.tasks && (inZone[option.zone] ?: 0) < job.spec.zoneLimit
@@ -109,7 +109,7 @@
 
     /** How many tasks of a spread job may still go to each zone. */
     private class ZoneLimit(private val job: WaitingJob) {
-        private val inZone = HashMap(job.placedIn)
+        private val inZone = HashMap(job.placedByZone)
 
         fun left(zone: String): Int = if (job.spec.spread) job.spec.zoneLimit - (inZone[zone] ?: 0) else Int.MAX_VALUE
 
--- a/src/main/kotlin/topazvale/scheduler/CapacityReservation.kt
+++ b/src/main/kotlin/topazvale/scheduler/CapacityReservation.kt
@@ -20,7 +20,7 @@
     snapshot: Snapshot,
     private val candidates: List<Candidate>,
 ) {
-    private val spec = load.sample.copy(oneZone = false, spread = false)
+    private val spec = load.sampleSpec.copy(oneZone = false, spread = false)
     private val types = reservedTypes(snapshot.types.values)
     private val typeNames = types.mapTo(HashSet()) { it.name }
     private val zones = types.flatMap { it.zones }
@@ -56,9 +56,9 @@
             spec.copy(zone = zone),
             now,
             deadline = null,
-            pending = tasks,
-            placedIn = emptyMap(),
-            begun = true,
+            pendingTasks = tasks,
+            placedByZone = emptyMap(),
+            hasStarted = true,
             estimate = Duration.ZERO,
             withinGuarantee = false,
         )
@@ -72,7 +72,8 @@
     /** What comes during a boot, and the largest service. */
     private fun wanted(): Int {
         val boot = types.maxOfOrNull { it.boot } ?: Duration.ZERO
-        return ceil(load.perSecond * boot.toDouble(DurationUnit.SECONDS) * SPARE).toInt() + load.largest
+        return ceil(load.replicasPerSecond * boot.toDouble(DurationUnit.SECONDS) * SPARE).toInt() +
+            load.largestReplicaCount
     }
 
     /** The number of replicas for which nothing is free in the zone. */
--- a/src/main/kotlin/topazvale/scheduler/FutureCapacity.kt
+++ b/src/main/kotlin/topazvale/scheduler/FutureCapacity.kt
@@ -19,7 +19,7 @@
 ) {
     constructor(m: MachineState, free: Resources) : this(m.market, m.type, free, m.releases)
 
-    private val ends by lazy(LazyThreadSafetyMode.NONE) { releases.value.sortedBy { it.within } }
+    private val ends by lazy(LazyThreadSafetyMode.NONE) { releases.value.sortedBy { it.expectedIn } }
 
     /** What has been free after each ending, the room now first. */
     private val after by lazy(LazyThreadSafetyMode.NONE) { ends.runningFold(free) { sum, e -> sum + e.need } }
@@ -31,7 +31,7 @@
     /** What will be free by then, if nothing else is placed. */
     fun within(horizon: Duration): Resources {
         var ended = 0
-        while (ended < ends.size && ends[ended].within <= horizon) ended++
+        while (ended < ends.size && ends[ended].expectedIn <= horizon) ended++
         return after[ended] - taken
     }
 
--- a/src/main/kotlin/topazvale/scheduler/GangHolds.kt
+++ b/src/main/kotlin/topazvale/scheduler/GangHolds.kt
@@ -25,7 +25,7 @@
         val fitting = candidates.filter { PlacementRules.allows(job.spec, it.machine) }
         val zones = if (job.spec.oneZone) fitting.groupBy { it.machine.market.zone } else mapOf(ANY_ZONE to fitting)
         val (zone, there) = zones.maxByOrNull { (_, group) -> group.sumOf { reachable(job, it) } } ?: return
-        val waitedLong = snapshot.now - job.submitted >= JobOrder.PATIENCE
+        val waitedLong = snapshot.now - job.submitted >= JobOrder.STARVATION_THRESHOLD
         if (!waitedLong && soonFreeTasks(job, zone) < tasks) return
         var left = tasks
         val holds = ArrayList<Hold>()
@@ -51,7 +51,7 @@
 
     private fun soonFree(machine: MachineState): Resources {
         if (!machine.up) return machine.free
-        return machine.releases.value.filter { it.within <= SOON }.fold(machine.free) { sum, release ->
+        return machine.releases.value.filter { it.expectedIn <= SOON }.fold(machine.free) { sum, release ->
             sum +
                 release.need
         }
--- a/src/main/kotlin/topazvale/scheduler/ImageWaits.kt
+++ b/src/main/kotlin/topazvale/scheduler/ImageWaits.kt
@@ -13,13 +13,13 @@
     private val waiting = HashMap<String, Int>()
 
     /** Whether the job may wait for machines that have its image. */
-    fun patient(job: WaitingJob) = job.spec.rank < Rank.URGENT && !job.spec.isGang && !JobOrder.starving(job, s)
+    fun patient(job: WaitingJob) = job.spec.rank < Rank.URGENT && !job.spec.isGang && !JobOrder.isStarving(job, s)
 
     /** Of [left] tasks how many should fetch, for [seconds], rather than wait; the others are expected to. */
     fun fetching(job: WaitingJob, left: Int, seconds: Double): Int {
         val image = job.spec.image
         val release =
-            (s.running[image] ?: 0) * (seconds.seconds / job.estimate.coerceAtLeast(1.seconds)).coerceAtMost(1.0)
+            (s.runningByImage[image] ?: 0) * (seconds.seconds / job.estimate.coerceAtLeast(1.seconds)).coerceAtMost(1.0)
         val expected = (release.toInt() - (waiting[image] ?: 0)).coerceIn(0, left)
         waiting.merge(image, expected, Int::plus)
         return left - expected
--- a/src/main/kotlin/topazvale/scheduler/JobOrder.kt
+++ b/src/main/kotlin/topazvale/scheduler/JobOrder.kt
@@ -11,11 +11,12 @@
 class JobOrder {
     /** A job with what it is compared by, worked out once. */
     private class Ranked(val job: WaitingJob, s: Snapshot) {
-        val starving = starving(job, s)
-        val old = job.begun && s.now - job.submitted > PATIENCE * OLD_PATIENCE
-        val inTurn = starving || old || (job.spec.isGang && job.spec.queue !in s.crowded)
+        val starving = isStarving(job, s)
+        val old = job.hasStarted && s.now - job.submitted > STARVATION_THRESHOLD * OLD_PATIENCE
+        val inTurn = starving || old || (job.spec.isGang && job.spec.queue !in s.overloadedQueues)
         val missed = if (inTurn) 0 else missed(job, s)
-        val work = if (inTurn || !timed(job, s)) 0.0 else job.spec.estimate.toDouble(DurationUnit.SECONDS) * job.pending
+        val work =
+            if (inTurn || !timed(job, s)) 0.0 else job.spec.estimate.toDouble(DurationUnit.SECONDS) * job.pendingTasks
     }
 
     /**
@@ -41,7 +42,7 @@
 
     companion object {
         /** Less than half of what is the longest anybody should wait for a beginning. */
-        val PATIENCE = 90.seconds
+        val STARVATION_THRESHOLD = 90.seconds
 
         /**
          * A gang that has begun waits for nothing more. Where there are too many, all that starve go before all that
@@ -52,9 +53,10 @@
         /** A job that has begun goes first in its rank after so many times its patience. */
         private const val OLD_PATIENCE = 1.5
 
-        fun starving(job: WaitingJob, s: Snapshot): Boolean {
-            val patience = if (job.spec.isGang && job.spec.queue in s.crowded) CROWDED_PATIENCE else PATIENCE
-            return !job.begun && s.now - job.submitted > patience
+        fun isStarving(job: WaitingJob, s: Snapshot): Boolean {
+            val patience =
+                if (job.spec.isGang && job.spec.queue in s.overloadedQueues) CROWDED_PATIENCE else STARVATION_THRESHOLD
+            return !job.hasStarted && s.now - job.submitted > patience
         }
 
         /** Whether its users expect it by some time; among others the first to come is the first to go. */
@@ -74,7 +76,7 @@
         }
 
         /** Whether a job has to start about now to be in time; one without a deadline always has to. */
-        fun pressing(deadline: Instant?, estimate: Duration, now: Instant) =
+        fun mustStartNow(deadline: Instant?, estimate: Duration, now: Instant) =
             deadline == null || deadline - now < estimate * MARGIN
 
         /** Run times are known roughly. */
--- a/src/main/kotlin/topazvale/scheduler/Placement.kt
+++ b/src/main/kotlin/topazvale/scheduler/Placement.kt
@@ -26,7 +26,7 @@
     private val open = ArrayList(all)
     private val withoutGpus = all.filterTo(ArrayList()) { it.machine.type.capacity.gpus == 0.0 }
     private val smallest = snapshot.jobs.map { it.spec.need }.reduceOrNull(::lesser) ?: Resources.NONE
-    private val allowance = Allowance(snapshot)
+    private val allowance = TeamQuota(snapshot)
     private val failedOnAll = FailedPlacements()
     private val failedWithoutGpus = FailedPlacements()
     private val failedWithReservations = FailedPlacements()
@@ -49,14 +49,14 @@
     fun make(): PlacementPlan {
         reservations.forEach { it.keep() }
         for (job in order.sorted(snapshot)) {
-            val allowed = minOf(job.pending, allowance.tasks(job.spec))
-            val wholly = !job.spec.isGang || allowed == job.pending
+            val allowed = minOf(job.pendingTasks, allowance.tasks(job.spec))
+            val wholly = !job.spec.isGang || allowed == job.pendingTasks
             if (allowed > 0 && wholly) tryFirst(job, firstShare(job, allowed))
         }
         val every = ArrayList(all)
         for (job in second) {
             holds.release(job)
-            val left = attempt(job, job.pending, every, failedOnAll)
+            val left = attempt(job, job.pendingTasks, every, failedOnAll)
             if (left > 0) unplaced += rest(job, left)
         }
         return plan()
@@ -109,16 +109,16 @@
         return left
     }
 
-    private fun isStarving(job: WaitingJob) = JobOrder.starving(job, snapshot)
+    private fun isStarving(job: WaitingJob) = JobOrder.isStarving(job, snapshot)
 
     /**
      * Machines with GPUs belong first, whatever its rank, to work that can run nowhere else and has to start now to be
      * in time. Without that urgent work would have them all, as it always comes first.
      */
-    private fun isPressing(job: WaitingJob) = JobOrder.pressing(job.deadline, job.estimate, snapshot.now)
+    private fun isPressing(job: WaitingJob) = JobOrder.mustStartNow(job.deadline, job.estimate, snapshot.now)
 
     /** Nobody is to wait for long beside capacity that is reserved for what may come. */
-    private fun waitsTooLong(job: WaitingJob) = !job.begun && snapshot.now - job.submitted > RESERVATION_PATIENCE
+    private fun waitsTooLong(job: WaitingJob) = !job.hasStarted && snapshot.now - job.submitted > RESERVATION_PATIENCE
 
     /** What goes before all others must not take all for itself. */
     private fun firstShare(job: WaitingJob, tasks: Int): Int =
@@ -129,14 +129,14 @@
      * had before. Without that an array bound to one zone began in two, and a spread one crowded a zone.
      */
     private fun rest(job: WaitingJob, left: Int): WaitingJob {
-        val got = bindingPicks.remove(job.spec.id) ?: return job.copy(pending = left)
-        val placedIn = HashMap(job.placedIn)
-        val placedOn = HashMap(job.placedOn)
+        val got = bindingPicks.remove(job.spec.id) ?: return job.copy(pendingTasks = left)
+        val placedByZone = HashMap(job.placedByZone)
+        val placedByHost = HashMap(job.placedByHost)
         for (pick in got) {
-            placedIn.merge(pick.candidate.machine.market.zone, pick.tasks, Int::plus)
-            placedOn.merge(pick.candidate.machine.host, pick.tasks, Int::plus)
+            placedByZone.merge(pick.candidate.machine.market.zone, pick.tasks, Int::plus)
+            placedByHost.merge(pick.candidate.machine.host, pick.tasks, Int::plus)
         }
-        return job.copy(pending = left, placedIn = placedIn, placedOn = placedOn)
+        return job.copy(pendingTasks = left, placedByZone = placedByZone, placedByHost = placedByHost)
     }
 
     /** The number of tasks for which there is no room, nor will be by what is stopped for them. */
@@ -147,7 +147,7 @@
         failed: FailedPlacements,
     ): Int {
         val least = if (job.spec.isGang) tasks else 1
-        val bound = job.spec.spread || job.placedIn.isNotEmpty()
+        val bound = job.spec.spread || job.placedByZone.isNotEmpty()
         if (!bound && failed.covers(job.spec, least)) return tasks
         // For urgent jobs something may still be stopped on a full machine; a starving one comes before them.
         if (!isStarving(job) && job.spec.rank < Rank.URGENT) candidates.removeAll(::isFull)
--- a/src/main/kotlin/topazvale/scheduler/Preemption.kt
+++ b/src/main/kotlin/topazvale/scheduler/Preemption.kt
@@ -6,7 +6,7 @@
 internal class Preemption {
     /** Room for so many tasks on a candidate, and what has to stop for it. */
     private class Clearing(val candidate: Candidate, val tasks: Int, val victims: List<CapacityRelease>) {
-        val cost = victims.sumOf { (it.lost?.inWholeMilliseconds ?: 0) + RESTART_MS } * candidate.machine.type.price
+        val cost = victims.sumOf { (it.lostWork?.inWholeMilliseconds ?: 0) + RESTART_MS } * candidate.machine.type.price
         val zone get() = candidate.machine.market.zone
     }
 
@@ -27,14 +27,14 @@
     /** Candidates among which all tasks of the job may lie. */
     private fun groups(job: WaitingJob, fitting: List<Candidate>): Collection<List<Candidate>> {
         if (!job.spec.oneZone) return listOf(fitting)
-        val fixed = job.placedIn.keys.firstOrNull()
+        val fixed = job.placedByZone.keys.firstOrNull()
         return fitting.groupBy { it.machine.market.zone }.filterKeys { fixed == null || it == fixed }.values
     }
 
     private fun cover(job: WaitingJob, tasks: Int, candidates: List<Candidate>): List<Clearing>? {
         val within = candidates.filter { reachable(job, it) > 0 }
         if (within.sumOf { reachable(job, it).toLong() } < tasks) return null
-        val inZone = HashMap(job.placedIn)
+        val inZone = HashMap(job.placedByZone)
         val picked = ArrayList<Clearing>()
         var left = tasks
         for (whole in within.mapNotNull { clearing(job, tasks, it) }.sortedBy { it.cost / it.tasks }) {
@@ -61,7 +61,7 @@
         val (stopping, running) = candidate.victims(job.spec).partition { it.stopping }
         val taken = ArrayList<CapacityRelease>()
         var free = candidate.eventual
-        for (victim in stopping + running.sortedBy { it.lost }) {
+        for (victim in stopping + running.sortedBy { it.lostWork }) {
             if (need.timesIn(free) >= wanted) break
             taken += victim
             free += victim.need
--- a/src/main/kotlin/topazvale/scheduler/Provisioner.kt
+++ b/src/main/kotlin/topazvale/scheduler/Provisioner.kt
@@ -8,8 +8,12 @@
 /** Decides what to rent and what to return. */
 class Provisioner(private val slack: SlackPolicy, private val bids: BidStrategy, private val keep: Duration) {
     /** Rents for what could not be placed and will not fit into room that is soon there. */
-    fun rents(s: Snapshot, placementPlan: PlacementPlan, refused: Set<Market>, mostPerRent: Int): List<Rent> =
-        Renting(s, placementPlan, refused, mostPerRent).make()
+    fun planRentals(
+        s: Snapshot,
+        placementPlan: PlacementPlan,
+        refused: Set<Market>,
+        mostPerRent: Int,
+    ): List<RentalRequest> = Renting(s, placementPlan, refused, mostPerRent).make()
 
     private inner class Renting(
         private val s: Snapshot,
@@ -18,31 +22,31 @@
         private val most: Int,
     ) {
         private val future by lazy(LazyThreadSafetyMode.NONE) {
-            s.machines.mapTo(ArrayList()) { FutureCapacity(it, placementPlan.free[it.host] ?: it.free) }
+            s.machines.mapTo(ArrayList()) { FutureCapacity(it, placementPlan.freeByHost[it.host] ?: it.free) }
         }
         private val rents = LinkedHashMap<Market, Int>()
         private var rented = 0
 
-        fun make(): List<Rent> {
+        fun make(): List<RentalRequest> {
             // With all capacity rented mostly nothing more can be had, and nothing need be worked out.
-            val wanted = (placementPlan.unplaced + placementPlan.unreserved).any {
+            val wanted = (placementPlan.unplaced + placementPlan.unreservedReplicas).any {
                 affordable(s, it, refused).isNotEmpty()
             }
-            if (!wanted && s.misplaced.distinct().none { relief(it) != null }) return emptyList()
+            if (!wanted && s.gpuWastingJobs.distinct().none { relief(it) != null }) return emptyList()
             for (job in placementPlan.unplaced) {
                 if (rented >= most) break
                 if (job.spec.oneZone) inOneZone(job) else anywhere(job)
             }
-            for (job in placementPlan.unreserved) if (rented < most) anywhere(job)
-            for (spec in s.misplaced) if (rented < most) relieve(spec)
-            return rents.map { Rent(it.key, it.value) }
+            for (job in placementPlan.unreservedReplicas) if (rented < most) anywhere(job)
+            for (spec in s.gpuWastingJobs) if (rented < most) relieve(spec)
+            return rents.map { RentalRequest(it.key, it.value) }
         }
 
         private fun anywhere(job: WaitingJob) {
             // Room in a zone that has its share of a spread job already is of no use to it.
-            val inZone = HashMap(job.placedIn)
+            val inZone = HashMap(job.placedByZone)
             fun may(zone: String, left: Int) = minOf(left, job.spec.zoneLimit - (inZone[zone] ?: 0))
-            var left = job.pending
+            var left = job.pendingTasks
             for ((zone, group) in if (job.spec.spread) {
                 fitting(job).groupBy { it.market.zone }
             } else {
@@ -66,24 +70,24 @@
         private fun inOneZone(job: WaitingJob) {
             val byZone = fitting(job).groupBy { it.market.zone }
             val markets = affordable(s, job, refused).groupBy { it.zone }
-            val zones = if (job.placedIn.isEmpty()) byZone.keys + markets.keys else job.placedIn.keys
+            val zones = if (job.placedByZone.isEmpty()) byZone.keys + markets.keys else job.placedByZone.keys
             val counts = zones.associateWith { zone ->
-                byZone[zone].orEmpty().sumOf { fits(job, it) }.coerceAtMost(job.pending)
+                byZone[zone].orEmpty().sumOf { fits(job, it) }.coerceAtMost(job.pendingTasks)
             }
-            val zone = counts.entries.firstOrNull { it.value >= job.pending }?.key
+            val zone = counts.entries.firstOrNull { it.value >= job.pendingTasks }?.key
                 ?: counts.keys.filter { it in markets }.minByOrNull {
                     price(job, markets.getValue(it)) *
-                        (job.pending - counts.getValue(it))
+                        (job.pendingTasks - counts.getValue(it))
                 }
             if (zone == null) return
-            var left = job.pending - take(job, job.pending, byZone[zone].orEmpty())
+            var left = job.pendingTasks - take(job, job.pendingTasks, byZone[zone].orEmpty())
             if (left == 0) return
             val market = markets.getValue(zone).minBy { price(job, listOf(it)) }
             while (left > 0) left -= rent(market, job.spec, left)
         }
 
         private fun price(job: WaitingJob, markets: List<Market>) = markets.minOf {
-            perTask(s, job.spec, it, job.pending)
+            perTask(s, job.spec, it, job.pendingTasks)
         }
 
         private fun rent(market: Market, spec: JobSpec, wanted: Int): Int {
@@ -135,8 +139,8 @@
     /**
      * Machines that have had nothing to do for as long as one of their price is kept, and no room to keep for replicas.
      */
-    fun returns(s: Snapshot, reserved: Set<String>): List<String> = s.machines.filter { m ->
-        val times = (s.dearest / m.type.price(m.market.spot)).coerceIn(1.0, MOST_KEEPS)
+    fun planReturns(s: Snapshot, reserved: Set<String>): List<String> = s.machines.filter { m ->
+        val times = (s.highestPrice / m.type.price(m.market.spot)).coerceIn(1.0, MOST_KEEPS)
         m.up && m.host !in reserved && m.idleFor != null && m.idleFor >= keep * times
     }.map { it.host }
 
--- a/src/main/kotlin/topazvale/scheduler/Snapshot.kt
+++ b/src/main/kotlin/topazvale/scheduler/Snapshot.kt
@@ -16,34 +16,34 @@
     val spec: JobSpec,
     val submitted: Instant,
     val deadline: Instant?,
-    val pending: Int,
+    val pendingTasks: Int,
     /** How many of its tasks are, or may be, in each zone. */
-    val placedIn: Map<String, Int>,
+    val placedByZone: Map<String, Int>,
     /** Some of its tasks are done, or may be on a machine. */
-    val begun: Boolean,
+    val hasStarted: Boolean,
     val estimate: Duration,
     val withinGuarantee: Boolean,
     /** How many of its replicas are, or may be, on each machine. */
-    val placedOn: Map<String, Int> = emptyMap(),
+    val placedByHost: Map<String, Int> = emptyMap(),
 )
 
 /**
  * Services whose replicas need the same: a sample of them, the largest one's replicas, and how many come in a second.
  */
-data class ServiceLoad(val sample: JobSpec, val largest: Int, val perSecond: Double)
+data class ServiceLoad(val sampleSpec: JobSpec, val largestReplicaCount: Int, val replicasPerSecond: Double)
 
 /** Something on a machine that will give its room back, by itself or because it is stopped. */
 data class CapacityRelease(
     val start: Start?,
     val need: Resources,
-    val within: Duration,
+    val expectedIn: Duration,
     val rank: Rank = Rank.NORMAL,
     /** The work that stopping it now would lose; null where it must not be stopped for others. */
-    val lost: Duration? = null,
+    val lostWork: Duration? = null,
     /** It has been told to stop. */
     val stopping: Boolean = false,
     /** Its job has to start about now to be in time. */
-    val pressing: Boolean = false,
+    val mustStartNow: Boolean = false,
 )
 
 /** A machine that is up or booting, with what is free on it. */
@@ -53,13 +53,13 @@
     val type: MachineType,
     val free: Resources,
     /** Further starts it has space for in its reports. */
-    val starts: Int,
+    val startSlots: Int,
     val up: Boolean,
     /** For a machine that is not up yet: when it should be. */
     val readyIn: Duration,
     val images: Set<String>,
     /** Those of the images that are still on their way, with their gigabytes. */
-    val arriving: Map<String, Double>,
+    val fetchingImages: Map<String, Double>,
     /** Worked out only where somebody asks. */
     val releases: Lazy<List<CapacityRelease>>,
     val idleFor: Duration?,
@@ -78,22 +78,22 @@
     /** The processors that the work with GPUs takes for each of them. */
     val cpusPerGpu: Double,
     /** How many tasks run with each image. */
-    val running: Map<String, Int> = emptyMap(),
+    val runningByImage: Map<String, Int> = emptyMap(),
     /** How many tasks of each class have a place. */
-    val placed: Map<String, Int> = emptyMap(),
+    val placedByQueue: Map<String, Int> = emptyMap(),
     /** Urgent work without GPUs that runs on machines with them, as there was no other room. */
-    val misplaced: List<JobSpec> = emptyList(),
+    val gpuWastingJobs: List<JobSpec> = emptyList(),
     val services: List<ServiceLoad> = emptyList(),
     /** Whether [usage] holds all that is on machines; otherwise any team may use more than it says. */
     val usageComplete: Boolean = true,
 ) {
     /** The price of the dearest machine there is. */
-    val dearest: Double = types.values.maxOfOrNull { it.price } ?: 0.0
+    val highestPrice: Double = types.values.maxOfOrNull { it.price } ?: 0.0
 
     /** Classes of which so much waits, beside what has a place, that not all can start in time. */
-    val crowded: Set<String> by lazy(LazyThreadSafetyMode.NONE) {
-        val waiting = jobs.groupingBy { it.spec.queue }.fold(0) { sum, job -> sum + job.pending }
-        waiting.filter { (queue, tasks) -> tasks > (placed[queue] ?: 0) * CROWDED }.keys
+    val overloadedQueues: Set<String> by lazy(LazyThreadSafetyMode.NONE) {
+        val waiting = jobs.groupingBy { it.spec.queue }.fold(0) { sum, job -> sum + job.pendingTasks }
+        waiting.filter { (queue, tasks) -> tasks > (placedByQueue[queue] ?: 0) * CROWDED }.keys
     }
 
     private companion object {
@@ -111,12 +111,12 @@
     /** What has to stop so that jobs of higher rank get its room. */
     val preempted: List<Start> = emptyList(),
     /** What is left free, by host, on machines that are up. */
-    val free: Map<String, Resources> = emptyMap(),
+    val freeByHost: Map<String, Resources> = emptyMap(),
     /** Replicas for which no room is kept yet, by sample. */
-    val unreserved: List<WaitingJob> = emptyList(),
+    val unreservedReplicas: List<WaitingJob> = emptyList(),
     /** Machines on which room is kept for replicas to come. */
-    val reserved: Set<String> = emptySet(),
+    val reservedHosts: Set<String> = emptySet(),
 )
 
 /** So many machines of a market. */
-data class Rent(val market: Market, val count: Int)
+data class RentalRequest(val market: Market, val count: Int)
--- a/src/main/kotlin/topazvale/scheduler/Allowance.kt
+++ b/src/main/kotlin/topazvale/scheduler/TeamQuota.kt
@@ -5,7 +5,7 @@
 import topazvale.model.Team
 
 /** What each team may still use under its limit, while a plan is made. */
-internal class Allowance(private val snapshot: Snapshot) {
+internal class TeamQuota(private val snapshot: Snapshot) {
     private val left = snapshot.teams.mapValues { (name, team) -> unused(name, team) }.toMutableMap()
 
     /** How many tasks of the job its team may still start. */
--- a/src/test/kotlin/topazvale/Samples.kt
+++ b/src/test/kotlin/topazvale/Samples.kt
@@ -70,12 +70,21 @@
 
     fun waiting(
         spec: JobSpec,
-        pending: Int = spec.tasks,
+        pendingTasks: Int = spec.tasks,
         deadline: Duration? = null,
-        placedIn: Map<String, Int> = emptyMap(),
+        placedByZone: Map<String, Int> = emptyMap(),
     ): WaitingJob {
         val due = deadline?.let { now + it }
-        return WaitingJob(spec, now, due, pending, placedIn, begun = false, spec.estimate, withinGuarantee = false)
+        return WaitingJob(
+            spec,
+            now,
+            due,
+            pendingTasks,
+            placedByZone,
+            hasStarted = false,
+            spec.estimate,
+            withinGuarantee = false,
+        )
     }
 
     fun machine(
@@ -89,11 +98,11 @@
         Market(type.name, zone, spot),
         type,
         type.capacity,
-        starts = 100,
+        startSlots = 100,
         up = up,
         readyIn = 0.seconds,
         images = emptySet(),
-        arriving = emptyMap(),
+        fetchingImages = emptyMap(),
         releases = lazyOf(emptyList()),
         idleFor = null,
     )
--- a/src/test/kotlin/topazvale/reconcile/SnapshotBuilderTest.kt
+++ b/src/test/kotlin/topazvale/reconcile/SnapshotBuilderTest.kt
@@ -33,6 +33,6 @@
         val builder = SnapshotBuilder(Settings.parse(SettingsTest.TEXT), cluster, 7, RunTimes(), Clocks.SYSTEM)
         val snapshot = builder.build(Samples.now, forProvisioning = false)
         assertEquals(Samples.service.image, Samples.array.image)
-        assertEquals(mapOf(Samples.array.image to 1), snapshot.running)
+        assertEquals(mapOf(Samples.array.image to 1), snapshot.runningByImage)
     }
 }
--- a/src/test/kotlin/topazvale/scheduler/GangPlacementTest.kt
+++ b/src/test/kotlin/topazvale/scheduler/GangPlacementTest.kt
@@ -66,7 +66,7 @@
             val s = snapshot(
                 listOf(gang, array),
                 listOf(machine("n-1", Samples.gpu)),
-            ).copy(placed = mapOf("reports" to 100))
+            ).copy(placedByQueue = mapOf("reports" to 100))
             assertEquals(first, placement.plan(s).assignments.first().job, "waited $waited s")
         }
     }
@@ -80,8 +80,8 @@
         val plan = placement.plan(snapshot(small + large, free + other))
         assertEquals(listOf("n-7", "n-8", "n-9"), plan.assignments.map { it.host }, "six are held, three are not")
         assertTrue(
-            plan.free.isEmpty() || free.all {
-                plan.free[it.host] ?: it.free == it.free
+            plan.freeByHost.isEmpty() || free.all {
+                plan.freeByHost[it.host] ?: it.free == it.free
             },
             "what is held is not rented again",
         )
--- a/src/test/kotlin/topazvale/scheduler/JobOrderTest.kt
+++ b/src/test/kotlin/topazvale/scheduler/JobOrderTest.kt
@@ -34,7 +34,7 @@
         fun order(jobs: List<WaitingJob>, placed: Int) = JobOrder().sorted(
             snapshot(jobs, emptyList()).copy(
                 objectives = mapOf(Samples.gang.queue to expected),
-                placed = mapOf(Samples.gang.queue to placed),
+                placedByQueue = mapOf(Samples.gang.queue to placed),
             ),
         ).map { it.spec.id }
         assertEquals(listOf("job-small", "job-large", "job-late", "job-missed"), order(jobs, placed = 20))
@@ -51,7 +51,7 @@
     fun `a job of which nothing has begun goes first after long, one that has begun only in its rank`() {
         fun job(id: String, waited: Int, tasks: Int, begun: Boolean = false, rank: Rank = Rank.NORMAL) =
             waiting(Samples.array.copy(id = id, tasks = tasks, rank = rank), deadline = 600.seconds)
-                .copy(submitted = Samples.now - waited.seconds, begun = begun)
+                .copy(submitted = Samples.now - waited.seconds, hasStarted = begun)
         val jobs = listOf(
             job("job-small", 5, 1),
             job("job-begun", 130, 50, begun = true),
--- a/src/test/kotlin/topazvale/scheduler/PlacementTest.kt
+++ b/src/test/kotlin/topazvale/scheduler/PlacementTest.kt
@@ -26,7 +26,7 @@
         val gpu = machine("n-1", Samples.gpu)
         val spotGpu = machine("n-1", Samples.gpu, spot = true)
 
-        fun begun(spec: JobSpec, zone: String) = waiting(spec, pending = 3, placedIn = mapOf(zone to 1))
+        fun begun(spec: JobSpec, zone: String) = waiting(spec, pendingTasks = 3, placedByZone = mapOf(zone to 1))
         val cases = listOf(
             Case("fits", waiting(array), gpu, Resources.NONE, 4),
             Case("limit of the team", waiting(array), gpu, Resources(30.0, 6.0, 0.0), 2),
@@ -82,7 +82,7 @@
         )
         for ((first, second, taken) in cases) {
             fun busy(host: String, arriving: Map<String, Double>) =
-                machine(host).copy(images = arriving.keys, arriving = arriving)
+                machine(host).copy(images = arriving.keys, fetchingImages = arriving)
 
             val job = waiting(Samples.gang.copy(tasks = 1))
             val plan = placement.plan(snapshot(listOf(job), listOf(busy("n-1", first), busy("n-2", second))))
@@ -110,8 +110,10 @@
         )
         for (c in cases) {
             val job = waiting(Samples.array.copy(imageGb = 5.0)).copy(submitted = Samples.now - c.waited.seconds)
-            val free = machine("n-1", Samples.gpu).copy(arriving = c.arriving)
-            val plan = placement.plan(snapshot(listOf(job), listOf(free)).copy(running = mapOf("img" to c.running)))
+            val free = machine("n-1", Samples.gpu).copy(fetchingImages = c.arriving)
+            val plan = placement.plan(
+                snapshot(listOf(job), listOf(free)).copy(runningByImage = mapOf("img" to c.running)),
+            )
             assertEquals(c.placed, plan.assignments.sumOf { it.tasks }, c.name)
         }
     }
--- a/src/test/kotlin/topazvale/scheduler/PreemptionTest.kt
+++ b/src/test/kotlin/topazvale/scheduler/PreemptionTest.kt
@@ -52,7 +52,7 @@
         assertEquals("n-2", placement.plan(snapshot(listOf(job), listOf(full, gpu))).assignments.single().host)
         val busy = gpu.copy(free = Resources.NONE, releases = lazyOf(listOf(runs.copy(need = Samples.gpu.capacity))))
         assertEquals(1, placement.plan(snapshot(listOf(job), listOf(full, busy))).preempted.size)
-        val pressing = busy.copy(releases = lazyOf(listOf(runs.copy(need = Samples.gpu.capacity, pressing = true))))
+        val pressing = busy.copy(releases = lazyOf(listOf(runs.copy(need = Samples.gpu.capacity, mustStartNow = true))))
         assertEquals(
             0,
             placement.plan(snapshot(listOf(job), listOf(full, pressing))).preempted.size,
--- a/src/test/kotlin/topazvale/scheduler/ProvisionerTest.kt
+++ b/src/test/kotlin/topazvale/scheduler/ProvisionerTest.kt
@@ -17,9 +17,9 @@
 class ProvisionerTest {
     @Test
     fun `while slack lasts only spot below the bid is rented`() {
-        val dear = LowestInWindow(10.minutes, 0.001).also {
-            it.seen("plain", 0.3, Samples.now)
-            it.seen("gpu", 1.0, Samples.now)
+        val dear = WindowMinimumBid(10.minutes, 0.001).also {
+            it.recordPrice("plain", 0.3, Samples.now)
+            it.recordPrice("gpu", 1.0, Samples.now)
         }
         data class Case(
             val name: String,
@@ -28,7 +28,7 @@
             val bids: BidStrategy,
             val spot: Boolean?,
         )
-        val even = LowestInWindow(10.minutes, 0.001)
+        val even = WindowMinimumBid(10.minutes, 0.001)
         val cases = listOf(
             Case("slack, price at its lowest", 600, true, even, true),
             Case("slack, price above the bid", 600, true, dear, null),
@@ -49,7 +49,7 @@
         val s = snapshot(listOf(job), emptyList())
         val refused = HashSet<Market>()
         val order = generateSequence {
-            provisioner().rents(s, PlacementPlan(emptyList(), listOf(job)), refused, 10).firstOrNull()?.also {
+            provisioner().planRentals(s, PlacementPlan(emptyList(), listOf(job)), refused, 10).firstOrNull()?.also {
                 refused +=
                     it.market
             }
@@ -90,10 +90,10 @@
 
     @Test
     fun `urgent work on machines with GPUs has plain ones rented for what follows it`() {
-        val s = snapshot(emptyList(), listOf(machine("n-1", Samples.gpu))).copy(misplaced = listOf(Samples.gang))
-        assertEquals("plain", provisioner().rents(s, NOTHING, emptySet(), 10).single().market.type)
+        val s = snapshot(emptyList(), listOf(machine("n-1", Samples.gpu))).copy(gpuWastingJobs = listOf(Samples.gang))
+        assertEquals("plain", provisioner().planRentals(s, NOTHING, emptySet(), 10).single().market.type)
         val relieved = s.copy(machines = s.machines + machine("n-2"))
-        assertTrue(provisioner().rents(relieved, NOTHING, emptySet(), 10).isEmpty())
+        assertTrue(provisioner().planRentals(relieved, NOTHING, emptySet(), 10).isEmpty())
     }
 
     @Test
@@ -103,7 +103,7 @@
         }
         val machines =
             listOf(idle("n-1", Samples.gpu, 46), idle("n-2", Samples.plain, 46), idle("n-3", Samples.plain, 181))
-        assertEquals(listOf("n-1", "n-3"), provisioner().returns(snapshot(emptyList(), machines), emptySet()))
+        assertEquals(listOf("n-1", "n-3"), provisioner().planReturns(snapshot(emptyList(), machines), emptySet()))
     }
 
     private companion object {
--- a/src/test/kotlin/topazvale/scheduler/SchedulerFixtures.kt
+++ b/src/test/kotlin/topazvale/scheduler/SchedulerFixtures.kt
@@ -14,11 +14,11 @@
 internal val slack = UrgencySlack(alpha = 4.0, bootAllowance = 60.seconds)
 internal val placement = Placement()
 
-internal fun provisioner(bids: BidStrategy = LowestInWindow(10.minutes, 0.001)) =
+internal fun provisioner(bids: BidStrategy = WindowMinimumBid(10.minutes, 0.001)) =
     Provisioner(slack, bids, keep = 45.seconds)
 
-internal fun rents(snapshot: Snapshot, job: WaitingJob, bids: BidStrategy = LowestInWindow(10.minutes, 0.001)) =
-    provisioner(bids).rents(snapshot, PlacementPlan(emptyList(), listOf(job)), emptySet(), mostPerRent = 10)
+internal fun rents(snapshot: Snapshot, job: WaitingJob, bids: BidStrategy = WindowMinimumBid(10.minutes, 0.001)) =
+    provisioner(bids).planRentals(snapshot, PlacementPlan(emptyList(), listOf(job)), emptySet(), mostPerRent = 10)
 
 /** An ordinary task that takes a whole plain machine, and loses little when it is stopped. */
 internal fun ordinaryRelease(index: Int) = CapacityRelease(
--- a/src/test/kotlin/topazvale/scheduler/ServicePlacementTest.kt
+++ b/src/test/kotlin/topazvale/scheduler/ServicePlacementTest.kt
@@ -27,9 +27,9 @@
         assertEquals(setOf("n-1", "n-2"), hosts(waiting(free.copy(tasks = 2))))
         val begun = waiting(
             Samples.service,
-            pending = 1,
-            placedIn = mapOf("a" to 1, "b" to 1),
-        ).copy(placedOn = mapOf("n-1" to 1, "n-2" to 1))
+            pendingTasks = 1,
+            placedByZone = mapOf("a" to 1, "b" to 1),
+        ).copy(placedByHost = mapOf("n-1" to 1, "n-2" to 1))
         assertEquals(setOf("n-3"), hosts(begun))
         val fewMachines = placement.plan(
             snapshot(
@@ -42,7 +42,7 @@
 
     @Test
     fun `capacity is reserved for replicas to come, in several zones, from all that is not one`() {
-        val load = ServiceLoad(Samples.service, largest = 4, perSecond = 0.0)
+        val load = ServiceLoad(Samples.service, largestReplicaCount = 4, replicasPerSecond = 0.0)
         val urgent = waiting(Samples.gang.copy(tasks = 1, oneZone = false))
         val machines =
             listOf(
@@ -53,10 +53,13 @@
         val plan = placement.plan(s)
         // The gang's 15 processors would leave too little on n-1; replicas may not use the spot machine.
         assertEquals(listOf("n-2"), plan.assignments.map { it.host })
-        assertEquals(setOf("n-1"), plan.reserved)
-        assertEquals(listOf("b" to 2), plan.unreserved.map { it.spec.zone to it.pending })
-        assertEquals(listOf(Rent(Market("plain", "b", false), 1)), provisioner().rents(s, plan, emptySet(), 10))
-        assertEquals(listOf("n-2"), provisioner().returns(s, plan.reserved))
+        assertEquals(setOf("n-1"), plan.reservedHosts)
+        assertEquals(listOf("b" to 2), plan.unreservedReplicas.map { it.spec.zone to it.pendingTasks })
+        assertEquals(
+            listOf(RentalRequest(Market("plain", "b", false), 1)),
+            provisioner().planRentals(s, plan, emptySet(), 10),
+        )
+        assertEquals(listOf("n-2"), provisioner().planReturns(s, plan.reservedHosts))
         val waitsTooLong = urgent.copy(
             submitted = Samples.now - 61.seconds,
             spec = urgent.spec.copy(spotAllowed = false),
@@ -84,7 +87,7 @@
     fun `a spread job rents zone by zone, and has lower ranks stopped in several`() {
         val spread = waiting(Samples.service.copy(tasks = 6, need = Resources(5.0, 0.0, 5.0), spotAllowed = true))
         val s = snapshot(listOf(spread), emptyList())
-        val rents = provisioner().rents(s, placement.plan(s), emptySet(), 10)
+        val rents = provisioner().planRentals(s, placement.plan(s), emptySet(), 10)
         assertEquals(
             mapOf("a" to 1, "b" to 1),
             rents.groupBy {
@@ -93,7 +96,7 @@
         )
         fun small(host: String, index: Int) = ordinaryRelease(
             index,
-        ).copy(start = Start(TaskId("job-$host", index), 1), need = spread.spec.need, within = 100.seconds)
+        ).copy(start = Start(TaskId("job-$host", index), 1), need = spread.spec.need, expectedIn = 100.seconds)
 
         fun full(host: String, zone: String) = machine(host, zone = zone).copy(
             free = Resources.NONE,
--- a/src/test/kotlin/topazvale/scheduler/SlackAndBidTest.kt
+++ b/src/test/kotlin/topazvale/scheduler/SlackAndBidTest.kt
@@ -27,9 +27,9 @@
 
     @Test
     fun `the bid follows the lowest price of the window until a job is urgent`() {
-        val bids = LowestInWindow(10.minutes, 0.001)
-        bids.seen("gpu", 3.0, Samples.now)
-        bids.seen("gpu", 4.0, Samples.now + 5.minutes)
+        val bids = WindowMinimumBid(10.minutes, 0.001)
+        bids.recordPrice("gpu", 3.0, Samples.now)
+        bids.recordPrice("gpu", 4.0, Samples.now + 5.minutes)
         // after, urgent, bid
         val cases = listOf(
             Triple(5.minutes, false, 3.001),
