--- a/src/main/kotlin/topazvale/Controller.kt
+++ b/src/main/kotlin/topazvale/Controller.kt
@@ -148,11 +148,11 @@
         }
         // Neither alone will do: a leader whose watch still speaks may have lost its lease, and one that keeps its
         // lease may not see what users cancel.
-        val known = cancellations.knownUpTo(minOf(term.renewed, current.seen))
+        val known = cancellations.knownUpTo(minOf(term.renewed, current.currentAsOf))
         return if (known.elapsedNow() > grace) {
-            LeadershipStatus.Uncertain(current::note)
+            LeadershipStatus.Uncertain(current::applyUnanswered)
         } else {
-            LeadershipStatus.AsLeader(term.token, current::answer)
+            LeadershipStatus.AsLeader(term.token, current::respond)
         }
     }
 
--- a/src/main/kotlin/topazvale/reconcile/ClusterState.kt
+++ b/src/main/kotlin/topazvale/reconcile/ClusterState.kt
@@ -47,21 +47,21 @@
     /** A job that is not over was read as the term began. */
     fun addJob(record: JobRecord, version: Long): ManagedJob = registry.add(record, version, RecordSource.REBUILD)
 
-    /** New machines, put on record together; [rentedByUs]: the cloud has just given them to us. */
-    fun add(name: String, market: Market, rented: Instant, hosts: List<String>, rentedByUs: Boolean) {
-        val group = MachineGroup(Keys.group(name), market, rented)
+    /** New machines, put on record together; [rentedInThisTerm]: the cloud has just given them to us. */
+    fun addMachines(name: String, market: Market, rentedAt: Instant, hosts: List<String>, rentedInThisTerm: Boolean) {
+        val group = MachineGroup(Keys.group(name), market, rentedAt)
         for (host in hosts.filter { it !in machines && it !in returned }) {
-            machines[host] = ManagedMachine(host, market, rented, group, rentedByUs, clocks)
+            machines[host] = ManagedMachine(host, market, rentedAt, group, rentedInThisTerm, clocks)
         }
         if (group.machines.isNotEmpty()) group.ticket = records.put(group.key) { group.record(valueBytes) }
     }
 
     /** Machines that are on record already. */
-    fun load(key: String, record: MachineGroupRecord) {
+    fun loadGroup(key: String, record: MachineGroupRecord) {
         val group = MachineGroup(key, record.market, record.rented)
         for ((host, images) in record.images) {
-            val machine = ManagedMachine(host, record.market, record.rented, group, rentedByUs = false, clocks)
-            images.forEach(machine::holds)
+            val machine = ManagedMachine(host, record.market, record.rented, group, rentedInThisTerm = false, clocks)
+            images.forEach(machine::recordImageUse)
             machines[host] = machine
         }
     }
@@ -74,11 +74,11 @@
     }
 
     /** Its task is proven to be on the machine no more; [reported]: by its worker's report of its exit. */
-    fun remove(placed: PlacedTask, reported: Boolean) {
+    fun removePlacement(placed: PlacedTask, reported: Boolean) {
         ledger.remove(placed)
         val job = jobs[placed.start.task.job]
-        if (job == null) ledger.close(placed.start.task.job) else giveUpFetch(placed.machine, job.spec.image)
-        starts.gone(placed, reported)
+        if (job == null) ledger.removeIfEmpty(placed.start.task.job) else giveUpFetch(placed.machine, job.spec.image)
+        starts.startEnded(placed, reported)
     }
 
     /** The task is done for good. */
@@ -91,20 +91,26 @@
     }
 
     /** A start that needs the image is on its way to the machine. */
-    fun fetches(machine: ManagedMachine, spec: JobSpec) {
-        if (machine.holds(spec.image)) machine.arriving[spec.image] = spec.imageGb
+    fun imageFetchStarted(machine: ManagedMachine, spec: JobSpec) {
+        if (machine.recordImageUse(spec.image)) machine.fetchingImages[spec.image] = spec.imageGb
     }
 
     /** A task that needs the image is on the machine. */
-    fun fetched(machine: ManagedMachine, image: String) {
-        val arrived = machine.arriving.remove(image) != null
-        if (machine.holds(image) || arrived) records.later(machine.group.key) { machine.group.record(valueBytes) }
+    fun imageFetched(machine: ManagedMachine, image: String) {
+        val arrived = machine.fetchingImages.remove(image) != null
+        if (machine.recordImageUse(image) || arrived) {
+            records.later(machine.group.key) { machine.group.record(valueBytes) }
+        }
     }
 
     /** A fetch that no task waits for any more is given up. */
     private fun giveUpFetch(machine: ManagedMachine, image: String) {
-        if (image !in machine.arriving || machine.placed.keys.any { jobs[it.task.job]?.spec?.image == image }) return
-        machine.arriving -= image
+        if (image !in machine.fetchingImages ||
+            machine.placements.keys.any { jobs[it.task.job]?.spec?.image == image }
+        ) {
+            return
+        }
+        machine.fetchingImages -= image
         machine.images -= image
     }
 
@@ -114,8 +120,8 @@
     }
 
     /** The machine has gone back to the cloud, and all that was on it is gone. */
-    fun forget(machine: ManagedMachine) {
-        machine.placed.values.toList().forEach { remove(it, reported = false) }
+    fun removeReturned(machine: ManagedMachine) {
+        machine.placements.values.toList().forEach { removePlacement(it, reported = false) }
         machines.remove(machine.host)
         returned += machine.host
         val group = machine.group
--- a/src/main/kotlin/topazvale/reconcile/DecisionLog.kt
+++ b/src/main/kotlin/topazvale/reconcile/DecisionLog.kt
@@ -23,7 +23,7 @@
     /** The cluster state was rebuilt; [complete]: from records that could all be read. */
     fun rebuilt(cluster: ClusterState, complete: Boolean) = event(log.atInfo()) {
         add("jobs", cluster.jobs.size).add("machines", cluster.machines.size)
-            .add("placements", cluster.machines.values.sumOf { it.placed.size }).add("complete", complete)
+            .add("placements", cluster.machines.values.sumOf { it.placements.size }).add("complete", complete)
             .log("rebuilt")
     }
 
@@ -36,7 +36,7 @@
 
     /** A task was assigned to a machine. */
     fun assigned(placed: PlacedTask) = event(log.atDebug()) {
-        placement(placed).add("seenAge", placed.machine.seenAt.age).log("assigned")
+        placement(placed).add("seenAge", placed.machine.lastReportAt.age).log("assigned")
     }
 
     /** A task is to stop. */
@@ -51,7 +51,8 @@
 
     /** A machine is given up: its worker's lease is over. */
     fun machineLost(machine: ManagedMachine, grounds: LeaseGrounds) = event(log.atInfo()) {
-        add("machine", machine.host).add("tasks", machine.placed.size).add("grounds", grounds).log("machine_given_up")
+        add("machine", machine.host).add("tasks", machine.placements.size).add("grounds", grounds)
+            .log("machine_given_up")
     }
 
     /** A task is on a machine, and on no record; [besides]: the machines of the task's other placements. */
@@ -65,7 +66,7 @@
     /** A report was answered though something newer had been heard of its worker. */
     fun reportOutOfOrder(report: Report, machine: ManagedMachine) = event(log.atDebug()) {
         add("machine", report.host).add("session", report.session).add("sequence", report.sequence)
-            .add("newest", "${machine.session}.${machine.sequence}").add("newestAge", machine.seenAt.age)
+            .add("newest", "${machine.session}.${machine.sequence}").add("newestAge", machine.lastReportAt.age)
             .log("report_out_of_order")
     }
 
--- a/src/main/kotlin/topazvale/reconcile/DirectCommands.kt
+++ b/src/main/kotlin/topazvale/reconcile/DirectCommands.kt
@@ -32,11 +32,11 @@
     private val due = LinkedHashSet<ManagedMachine>()
 
     /**
-     * A former leader may go on answering workers until they see our token, for [holdover] at most. Those that do not
-     * come by themselves are told, and told again: a message may get lost, or find no socket free.
+     * A former leader may go on answering workers until they see our token, for [formerLeaderWindow] at most. Those
+     * that do not come by themselves are told, and told again: a message may get lost, or find no socket free.
      */
-    suspend fun raiseTokens(holdover: Duration) {
-        val until = context.clocks.mark() + holdover
+    suspend fun propagateToken(formerLeaderWindow: Duration) {
+        val until = context.clocks.mark() + formerLeaderWindow
         delay(settings.workers.report)
         while (until.hasNotPassedNow()) {
             for (machine in cluster.machines.values.toList()) {
@@ -50,12 +50,12 @@
 
     /** What the cloud gave to this leader has known no other. */
     private fun heldByOthers(machine: ManagedMachine): Boolean {
-        val mayKnowOther = machine.token < token && !machine.rentedByUs && !machine.returning
+        val mayKnowOther = machine.token < token && !machine.rentedInThisTerm && !machine.returning
         return mayKnowOther && machine.endpoint.isNotEmpty() && machine.host !in busy
     }
 
     /** There may be something to say to the machine. */
-    fun due(machine: ManagedMachine) {
+    fun enqueue(machine: ManagedMachine) {
         due += machine
     }
 
@@ -64,7 +64,7 @@
         due.removeAll { machine ->
             if (machine.host in busy) return@removeAll false
             if (!reached(machine)) return@removeAll true
-            val complete = machine.placed.values.all { it.mayBeCommanded(records) }
+            val complete = machine.placements.values.all { it.mayBeSent(records) }
             val orders = orders(machine)
             when {
                 orders.isEmpty() -> complete
@@ -79,16 +79,16 @@
 
     /** Others learn their orders from the answer to their next report, if there is one. */
     private fun reached(machine: ManagedMachine): Boolean {
-        if (cluster.machines[machine.host] !== machine || !machine.responses.arrive) return false
-        val reported = machine.reportedAt ?: return false
+        if (cluster.machines[machine.host] !== machine || !machine.responseDelivery.isConfirmed) return false
+        val reported = machine.lastAnsweredReportAt ?: return false
         return reported.elapsedNow() < settings.workers.report * MachineSnapshots.MAX_MISSED_REPORTS
     }
 
-    private fun orders(machine: ManagedMachine): List<Order> = machine.placed.values.mapNotNull { placed ->
-        val grace = placed.stop
-        val fresh = placed.state == null && !placed.sent && !placed.inherited
+    private fun orders(machine: ManagedMachine): List<Order> = machine.placements.values.mapNotNull { placed ->
+        val grace = placed.stopGracePeriod
+        val fresh = placed.state == null && !placed.startSent && !placed.isInherited
         when {
-            !placed.mayBeCommanded(records) || placed.session != machine.session -> null
+            !placed.mayBeSent(records) || placed.session != machine.session -> null
             grace != null -> if (placed.stopSent) null else Order.Stop(placed.start, grace)
             fresh && knowsCancellations() -> Order.Run(placed.start)
             else -> null
@@ -98,13 +98,13 @@
     /** False where no socket is free for it. */
     private fun send(machine: ManagedMachine, orders: List<Order>): Boolean {
         if (busy.size >= settings.maxConnections / SOCKETS_PART || !context.sockets.spare) return false
-        val runs = orders.filterIsInstance<Order.Run>().mapNotNull { machine.placed[it.start] }
-        val settledByAnswer = runs.filter { !it.unsettled }
+        val runs = orders.filterIsInstance<Order.Run>().mapNotNull { machine.placements[it.start] }
+        val settledByAnswer = runs.filter { !it.inDoubt }
         for (placed in runs) {
-            placed.sent = true
-            placed.unsettled = true
+            placed.startSent = true
+            placed.inDoubt = true
         }
-        for (order in orders) if (order is Order.Stop) machine.placed[order.start]?.stopSent = true
+        for (order in orders) if (order is Order.Stop) machine.placements[order.start]?.stopSent = true
         busy += machine.host
         val session = machine.session
         context.launch("direct command") {
@@ -119,9 +119,9 @@
     }
 
     private fun answered(machine: ManagedMachine, report: Report, settled: List<PlacedTask>) {
-        settled.forEach { it.unsettled = false }
+        settled.forEach { it.inDoubt = false }
         if (cluster.machines[machine.host] === machine &&
-            reports.take(report, ReportSource.DIRECT)
+            reports.applyReport(report, ReportSource.DIRECT)
         ) {
             context.requestPlan()
         }
--- a/src/main/kotlin/topazvale/reconcile/SilentMachines.kt
+++ b/src/main/kotlin/topazvale/reconcile/ExpiredLeases.kt
@@ -1,7 +1,7 @@
 package topazvale.reconcile
 
 /** Gives up the tasks of silent workers whose lease must have ended. */
-internal class SilentMachines(
+internal class ExpiredLeases(
     private val cluster: ClusterState,
     private val leaseRules: LeaseRules,
     private val reports: ReportProcessor,
@@ -10,7 +10,7 @@
     /** Called regularly by the planning loop. */
     fun expire() {
         for (machine in cluster.machines.values) {
-            if (machine.placed.isNotEmpty() && !machine.lease.mayRun(leaseRules)) giveUp(machine)
+            if (machine.placements.isNotEmpty() && !machine.lease.mayRun(leaseRules)) giveUp(machine)
         }
     }
 
@@ -20,6 +20,6 @@
         decisions.machineLost(machine, grounds)
         if (grounds.age != null) ClusterMetrics.machineLost(grounds.age - grounds.lease)
         val proof = AbsenceProof.LeaseEnded(grounds)
-        machine.placed.values.toList().forEach { reports.lost(it, proof) }
+        machine.placements.values.toList().forEach { reports.removeLost(it, proof) }
     }
 }
--- a/src/main/kotlin/topazvale/reconcile/JobRegistry.kt
+++ b/src/main/kotlin/topazvale/reconcile/JobRegistry.kt
@@ -86,7 +86,7 @@
         if (revision <= job.knownAt) {
             Invariants.reportViolation(ENDED_JOB_ADDED, "$id known at ${job.knownAt}, ended at $revision")
         }
-        ledger.close(id)
+        ledger.removeIfEmpty(id)
         log.ended(id, job, revision, source)
     }
 
--- a/src/main/kotlin/topazvale/reconcile/JobWatch.kt
+++ b/src/main/kotlin/topazvale/reconcile/JobWatch.kt
@@ -72,7 +72,7 @@
     /** The watch goes on from the listing's first page, so that it may tell once more what later pages hold. */
     private suspend fun readAnew(sent: ComparableTimeMark): Long =
         registry.withPendingRead(RecordSource.LIST) { reading ->
-            val listing = state.readAll(Keys.JOBS)
+            val listing = state.listAllWithRetry(Keys.JOBS)
             listing.entries.forEach { take(it, reading.source) }
             registry.advanceWatchRevision(listing.revision)
             currentAsOf = sent
--- a/src/main/kotlin/topazvale/reconcile/Leadership.kt
+++ b/src/main/kotlin/topazvale/reconcile/Leadership.kt
@@ -47,7 +47,7 @@
         settings.workers.lease,
         formerLeaderUntil = began + grace + LeaseRules.longest(settings.workers.lease),
     )
-    private val silentMachines = SilentMachines(cluster, leaseRules, reports, decisions)
+    private val expiredLeases = ExpiredLeases(cluster, leaseRules, reports, decisions)
     private val writeRequests = Channel<Unit>(Channel.CONFLATED)
 
     /** What can wait gets a fixed share of the changes per second. */
@@ -60,7 +60,7 @@
     private var startsFrom: ComparableTimeMark = began
 
     /** Up to when all cancellations that users were told of are known. */
-    val seen: ComparableTimeMark get() = jobs.currentAsOf
+    val currentAsOf: ComparableTimeMark get() = jobs.currentAsOf
 
     /** Rebuilds the state and starts the loops. */
     fun start() {
@@ -68,9 +68,9 @@
     }
 
     /** The orders in answer to a report; null while the state is not rebuilt yet. */
-    fun answer(report: Report): List<Order>? {
+    fun respond(report: Report): List<Order>? {
         if (!ready) return null
-        if (reports.take(report, ReportSource.ANSWERED)) {
+        if (reports.applyReport(report, ReportSource.ANSWERED)) {
             context.requestPlan()
             requestWrite()
         }
@@ -80,13 +80,13 @@
         if (machine == null || !current) return emptyList()
         val orders = reports.orders(machine, report)
         decisions.reportAnswered(report, orders)
-        machine.responses.answered(orders.firstNotNullOfOrNull { (it as? Order.Run)?.start })
+        machine.responseDelivery.answered(orders.firstNotNullOfOrNull { (it as? Order.Run)?.start })
         return orders
     }
 
     /** Takes in a report that may not be answered, as that would renew its worker's lease. */
-    fun note(report: Report) {
-        if (ready && reports.take(report, ReportSource.UNANSWERED)) context.requestPlan()
+    fun applyUnanswered(report: Report) {
+        if (ready && reports.applyReport(report, ReportSource.UNANSWERED)) context.requestPlan()
     }
 
     private suspend fun lead() {
@@ -99,7 +99,7 @@
         context.launch("watch of the jobs") { jobs.watch(revision, read) }
         context.launch("writes") { writeLoop() }
         context.launch("provisioning") { planning.provisioning.run() }
-        context.launch("tokens") { directCommands.raiseTokens(grace + settings.workers.lease) }
+        context.launch("tokens") { directCommands.propagateToken(grace + settings.workers.lease) }
         planLoop()
     }
 
@@ -126,7 +126,7 @@
     private fun mayGoOn(): Boolean {
         if (checkedAt.elapsedNow() >= CHECK_INTERVAL) {
             checkedAt = clocks.mark()
-            silentMachines.expire()
+            expiredLeases.expire()
             cluster.ledger.check(cluster.machines.values)
             if (!health.mayLead()) return false
         }
--- a/src/main/kotlin/topazvale/reconcile/MachineInventory.kt
+++ b/src/main/kotlin/topazvale/reconcile/MachineInventory.kt
@@ -39,7 +39,13 @@
     private fun takeListed(listed: ListedMachine) {
         if (listed.host !in cluster.machines) {
             log.info("unexpected machine {}", listed.host)
-            cluster.add(listed.host, listed.market, clocks.now() - listed.age, listOf(listed.host), rentedByUs = false)
+            cluster.addMachines(
+                listed.host,
+                listed.market,
+                clocks.now() - listed.age,
+                listOf(listed.host),
+                rentedInThisTerm = false,
+            )
         }
         val machine = cluster.machines.getValue(listed.host)
         if (machine.endpoint.isEmpty()) machine.endpoint = listed.endpoint
@@ -50,12 +56,12 @@
     /** It has failed, never came up, went silent for good, is listed no more, or whatever starts there fails. */
     private fun uselessness(machine: ManagedMachine): ReturnReason? {
         val type = cluster.types[machine.market.type] ?: return null
-        val age = clocks.now() - machine.rented
+        val age = clocks.now() - machine.rentedAt
         // A leader that may not answer hears its machines all the same: they are not to go back for its silence.
-        val seen = machine.seenAt
+        val seen = machine.lastReportAt
         return when {
             machine.failed -> ReturnReason.FAILED
-            machine.faults >= MachineSnapshots.MAX_CONSECUTIVE_FAILURES -> ReturnReason.FAULTY
+            machine.consecutiveFailures >= MachineSnapshots.MAX_CONSECUTIVE_FAILURES -> ReturnReason.FAULTY
             seen != null -> ReturnReason.SILENT.takeIf { seen.elapsedNow() > lease * SILENT_LEASES }
             neverCameUp(machine, type, age) -> ReturnReason.NEVER_UP
             else -> ReturnReason.UNLISTED.takeIf { isUnlisted(machine, age) }
@@ -82,7 +88,7 @@
      * fault is more likely ours.
      */
     private fun returnUnreachable() {
-        val unreachable = cluster.machines.values.filter { !it.returning && it.responses.undeliveredFor > lease }
+        val unreachable = cluster.machines.values.filter { !it.returning && it.responseDelivery.unconfirmedFor > lease }
         if (unreachable.size > cluster.machines.size * MOST_UNREACHABLE) return
         unreachable.forEach { giveBack(it, ReturnReason.DOES_NOT_HEAR) }
     }
--- a/src/main/kotlin/topazvale/reconcile/MachineSnapshots.kt
+++ b/src/main/kotlin/topazvale/reconcile/MachineSnapshots.kt
@@ -28,42 +28,43 @@
         val present = isPresent(machine, context)
         if (!present && !isBooting(machine, type, context)) return null
         // A report from before our term may be a late copy: of a machine that is gone, or a session that is over.
-        val up = present && (machine.rentedByUs || machine.token >= token)
-        val ready = machine.rented + type.boot
+        val up = present && (machine.rentedInThisTerm || machine.token >= token)
+        val ready = machine.rentedAt + type.boot
         return MachineState(
             host = machine.host,
             market = machine.market,
             type = type,
-            free = if (machine.holdsUnknown) Resources.NONE else type.capacity - machine.used,
-            startSlots = MOST_STARTS - machine.placed.size,
+            free = if (machine.hasUnknownUsage) Resources.NONE else type.capacity - machine.used,
+            startSlots = MOST_STARTS - machine.placements.size,
             up = up,
             readyIn = if (present) Duration.ZERO else (ready - context.now).coerceAtLeast(Duration.ZERO),
             images = machine.images,
-            fetchingImages = machine.arriving,
+            fetchingImages = machine.fetchingImages,
             releases = if (up) releases(machine, context) else NO_RELEASES,
-            idleFor = if (machine.placed.isEmpty()) context.mark - machine.idleSince else null,
+            idleFor = if (machine.placements.isEmpty()) context.mark - machine.idleSince else null,
         )
     }
 
     private fun isLeaving(machine: ManagedMachine): Boolean {
-        val useless = machine.failed || machine.faults >= MAX_CONSECUTIVE_FAILURES
+        val useless = machine.failed || machine.consecutiveFailures >= MAX_CONSECUTIVE_FAILURES
         return machine.returning || useless || machine.noticeEndsAt != null
     }
 
     private fun isPresent(machine: ManagedMachine, context: SnapshotContext): Boolean {
-        val reported = machine.reportedAt ?: return false
-        return context.mark - reported < settings.workers.report * MAX_MISSED_REPORTS && machine.responses.arrive
+        val reported = machine.lastAnsweredReportAt ?: return false
+        return context.mark - reported < settings.workers.report * MAX_MISSED_REPORTS &&
+            machine.responseDelivery.isConfirmed
     }
 
     private fun isBooting(machine: ManagedMachine, type: MachineType, context: SnapshotContext): Boolean {
-        if (machine.reportedAt != null) return false
-        val expected = context.now - machine.rented < type.boot * BOOT_TIMEOUT_FACTOR
+        if (machine.lastAnsweredReportAt != null) return false
+        val expected = context.now - machine.rentedAt < type.boot * BOOT_TIMEOUT_FACTOR
         return expected || machine.knownSince.elapsedNow() < settings.workers.lease
     }
 
     /** Worked out only where somebody asks. */
     private fun releases(machine: ManagedMachine, context: SnapshotContext): Lazy<List<CapacityRelease>> =
-        lazy(LazyThreadSafetyMode.NONE) { machine.placed.values.map { release(it, context) } }
+        lazy(LazyThreadSafetyMode.NONE) { machine.placements.values.map { release(it, context) } }
 
     private fun release(placed: PlacedTask, context: SnapshotContext): CapacityRelease {
         val job = cluster.jobs[placed.start.task.job]
@@ -73,7 +74,7 @@
                 placed.start,
                 placed.need,
                 expectedIn = Duration.ZERO,
-                stopping = placed.stop != null,
+                stopping = placed.stopGracePeriod != null,
                 mustStartNow = true,
             )
         }
@@ -85,13 +86,13 @@
             expectedIn = within(job.spec, placed, estimate - ran),
             rank = job.spec.rank,
             lostWork = if (isSpared(job, context)) null else lost(job.spec, ran),
-            stopping = placed.stop != null,
+            stopping = placed.stopGracePeriod != null,
             mustStartNow = JobOrder.mustStartNow(job.record.deadline, estimate, context.now),
         )
     }
 
     private fun within(spec: JobSpec, placed: PlacedTask, left: Duration): Duration =
-        if (spec.isService && placed.stop == null) Duration.INFINITE else left.coerceAtLeast(Duration.ZERO)
+        if (spec.isService && placed.stopGracePeriod == null) Duration.INFINITE else left.coerceAtLeast(Duration.ZERO)
 
     /** A job that got its first share by its age would lose it at once to those it went before. */
     private fun isSpared(job: ManagedJob, context: SnapshotContext): Boolean {
--- a/src/main/kotlin/topazvale/reconcile/ManagedMachine.kt
+++ b/src/main/kotlin/topazvale/reconcile/ManagedMachine.kt
@@ -29,10 +29,10 @@
     val need: Resources get() = spec?.need ?: Resources.NONE
 
     /** It is on no record: found on the machine. */
-    val isStray: Boolean get() = origin == PlacementOrigin.STRAY
+    val isOrphaned: Boolean get() = origin == PlacementOrigin.ORPHANED
 
     /** This leader has not started it itself. */
-    val inherited: Boolean get() = origin != PlacementOrigin.STARTED
+    val isInherited: Boolean get() = origin != PlacementOrigin.STARTED
 
     /** From this write ticket on the start is on record. */
     var ticket = Long.MAX_VALUE
@@ -45,45 +45,45 @@
     var runningSince: ComparableTimeMark? = null
 
     /** The grace with which it is to stop; null while it is wanted. */
-    var stop: Duration? = null
+    var stopGracePeriod: Duration? = null
 
     /** A stop has been sent as a direct command; the answers to reports repeat it. */
     var stopSent = false
 
     /** Its start has been commanded in an answer to a report, or directly. */
-    var sent = false
+    var startSent = false
 
     /**
      * The report in the answer to which its start was commanded; null once that answer has arrived or never will. The
      * worker has one report in flight, so that its next one settles it; what it says to direct commands does not.
      */
-    var answeredReport: Long? = null
+    var startSentInReport: Long? = null
 
     /** A direct command got no answer: it may still be carried out as long as the session lasts. */
-    var unsettled = false
+    var inDoubt = false
 
     /** Whether it occupies its place on the machine: it has its image. */
-    val onMachine get() = state != null && state != TaskState.FETCHING
+    val hasImage get() = state != null && state != TaskState.FETCHING
 
     /** Whether a report under our token that does not list it proves that it is gone. */
-    val mustBeListed: Boolean
+    val isExpectedInReports: Boolean
         get() {
-            val stopArrived = stop != null && !unsettled && answeredReport == null
-            return inherited || state != null || stopArrived
+            val stopArrived = stopGracePeriod != null && !inDoubt && startSentInReport == null
+            return isInherited || state != null || stopArrived
         }
 
     /** A report with this sequence number has come in: earlier ones have been answered, or never will be. */
-    fun settleAnswersBefore(sequence: Long) {
-        val answered = answeredReport ?: return
-        if (answered < sequence) answeredReport = null
+    fun acknowledgeResponsesBefore(sequence: Long) {
+        val answered = startSentInReport ?: return
+        if (answered < sequence) startSentInReport = null
     }
 
     /**
      * Whether its command may leave: a later leader has to find both the start and its machine on record, as it takes
      * what is on no machine of the records for gone. A stray is on none, and its stop must not wait for that.
      */
-    fun mayBeCommanded(records: RecordWriter): Boolean =
-        isStray || (records.isDurable(ticket) && records.isDurable(machine.group.ticket))
+    fun mayBeSent(records: RecordWriter): Boolean =
+        isOrphaned || (records.isDurable(ticket) && records.isDurable(machine.group.ticket))
 
     override fun toString() = "$start on ${machine.host}"
 }
@@ -97,19 +97,19 @@
     RECORDED,
 
     /** It was found on its machine, and is on no record. */
-    STRAY,
+    ORPHANED,
 }
 
 /**
- * A machine as this leader knows it. [rentedByUs]: the cloud gave it to this very leader, so that no report of its
- * worker can be older than this term.
+ * A machine as this leader knows it. [rentedInThisTerm]: the cloud gave it to this very leader, so that no report of
+ * its worker can be older than this term.
  */
 class ManagedMachine(
     val host: String,
     val market: Market,
-    val rented: Instant,
+    val rentedAt: Instant,
     val group: MachineGroup,
-    val rentedByUs: Boolean,
+    val rentedInThisTerm: Boolean,
     private val clocks: Clocks,
 ) {
     var endpoint = ""
@@ -120,17 +120,17 @@
     val lease = WorkerLease(clocks)
 
     /** When the last report that was answered came in; null before the first message to this leader. */
-    var reportedAt: ComparableTimeMark? = null
+    var lastAnsweredReportAt: ComparableTimeMark? = null
 
     /** When any report of it came in, also one that was not answered and so renewed no lease. */
-    var seenAt: ComparableTimeMark? = null
+    var lastReportAt: ComparableTimeMark? = null
 
     /** Since when this leader knows of it. */
     val knownSince: ComparableTimeMark = clocks.mark()
 
     /** The highest token its worker is known to have seen. */
     val token: Long get() = lease.token
-    val responses = ResponseDelivery(clocks)
+    val responseDelivery = ResponseDelivery(clocks)
 
     /** When the cloud takes a spot machine back; null without a notice. */
     var noticeEndsAt: ComparableTimeMark? = null
@@ -144,15 +144,15 @@
     var returning = false
 
     /** Starts in a row that failed here and speak against the machine. */
-    var faults = 0
-    val placed = LinkedHashMap<Start, PlacedTask>()
+    var consecutiveFailures = 0
+    val placements = LinkedHashMap<Start, PlacedTask>()
     val images = LinkedHashSet<String>()
 
     /** Images on their way, with their gigabytes: they share the machine's rate. */
-    val arriving = HashMap<String, Double>()
+    val fetchingImages = HashMap<String, Double>()
 
     /** Whether something is on it of which nobody knows what it takes. */
-    val holdsUnknown: Boolean get() = unknown > 0
+    val hasUnknownUsage: Boolean get() = unknown > 0
     private var unknown = 0
 
     /** What the placed tasks take. */
@@ -160,14 +160,14 @@
         private set
 
     /** Exited starts of this session that must stay in the worker's memory, as their command may come once more. */
-    val keptStarts = HashSet<Start>()
+    val retainedStarts = HashSet<Start>()
 
     init {
         group.machines[host] = this
     }
 
     /** The cache keeps the most recently used images, and so do we. True where the image was not held before. */
-    fun holds(image: String): Boolean {
+    fun recordImageUse(image: String): Boolean {
         val known = images.remove(image)
         images += image
         if (images.size > IMAGES_KEPT) images.remove(images.first())
@@ -176,18 +176,18 @@
 
     /** The task counts here from now on. */
     fun add(task: PlacedTask) {
-        placed[task.start] = task
+        placements[task.start] = task
         used += task.need
         if (task.spec == null) unknown++
     }
 
     /** The task is gone. */
     fun remove(task: PlacedTask) {
-        if (placed.remove(task.start) == null) return
+        if (placements.remove(task.start) == null) return
         if (task.spec == null) unknown--
         // Sums of decimals drift: an empty machine is empty.
-        used = if (placed.isEmpty()) Resources.NONE else used - task.need
-        if (placed.isEmpty()) idleSince = clocks.mark()
+        used = if (placements.isEmpty()) Resources.NONE else used - task.need
+        if (placements.isEmpty()) idleSince = clocks.mark()
     }
 
     private companion object {
@@ -196,7 +196,7 @@
 }
 
 /** Machines rented together, which are one record. */
-class MachineGroup(val key: String, private val market: Market, private val rented: Instant) {
+class MachineGroup(val key: String, private val market: Market, private val rentedAt: Instant) {
     val machines = LinkedHashMap<String, ManagedMachine>()
 
     /** From this ticket on the machines are on record. */
@@ -205,7 +205,7 @@
     /** As many of the images, the last used ones, as the value limit leaves space for. */
     fun record(valueBytes: Int): Map<String, Any?> {
         val space = (valueBytes - HEAD_BYTES) / machines.size - HOST_BYTES
-        return MachineGroupRecord(market, rented, machines.mapValues { (_, m) -> newest(m, space) }).encode()
+        return MachineGroupRecord(market, rentedAt, machines.mapValues { (_, m) -> newest(m, space) }).encode()
     }
 
     private fun newest(machine: ManagedMachine, space: Int): List<String> {
@@ -220,6 +220,6 @@
         private const val HEAD_BYTES = 512
         private const val HOST_BYTES = 32
 
-        fun mostMachines(valueBytes: Int) = ((valueBytes - HEAD_BYTES) / HOST_BYTES).coerceAtLeast(1)
+        fun maxMachines(valueBytes: Int) = ((valueBytes - HEAD_BYTES) / HOST_BYTES).coerceAtLeast(1)
     }
 }
--- a/src/main/kotlin/topazvale/reconcile/PlacementLedger.kt
+++ b/src/main/kotlin/topazvale/reconcile/PlacementLedger.kt
@@ -22,7 +22,7 @@
         val placements = of(task.job)
         val others = placements.of(task.index)
         // What the leader itself starts must be nowhere else; a stray is found where it is.
-        if (!placed.isStray && others.isNotEmpty()) {
+        if (!placed.isOrphaned && others.isNotEmpty()) {
             Invariants.reportViolation("second_placement", "${placed.start} on ${placed.machine.host} beside $others")
         }
         placements.add(placed)
@@ -38,7 +38,7 @@
     }
 
     /** The job is over; what is still found of it counts until it is gone. */
-    fun close(job: String) {
+    fun removeIfEmpty(job: String) {
         if (jobs[job]?.isEmpty() == true) jobs.remove(job)
     }
 
@@ -61,7 +61,7 @@
     /** The sums by job and by machine have to be the same. */
     fun check(machines: Collection<ManagedMachine>) {
         val byJob = jobs.values.sumOf { it.size }
-        val byMachine = machines.sumOf { it.placed.size }
+        val byMachine = machines.sumOf { it.placements.size }
         if (byJob != byMachine) {
             Invariants.reportViolation("ledger_sums", "$byJob placements by job, $byMachine by machine")
         }
--- a/src/main/kotlin/topazvale/reconcile/PlanningLoop.kt
+++ b/src/main/kotlin/topazvale/reconcile/PlanningLoop.kt
@@ -63,7 +63,7 @@
         for (host in provisioner.planReturns(snapshot, plan.reservedHosts)) {
             val machine = cluster.machines[host]
             // The plan itself may have placed something there.
-            if (machine == null || machine.placed.isNotEmpty()) continue
+            if (machine == null || machine.placements.isNotEmpty()) continue
             machine.returning = true
             provisioningLog.returnWanted(machine, ReturnReason.IDLE)
         }
@@ -79,8 +79,8 @@
             val start = Start(TaskId(assignment.job, index), Attempts.of(token, attempts))
             cluster.place(start, machine, machine.session, PlacementOrigin.STARTED)
         }
-        directCommands.due(machine)
-        cluster.fetches(machine, job.spec)
+        directCommands.enqueue(machine)
+        cluster.imageFetchStarted(machine, job.spec)
         placed.forEach(decisions::assigned)
         return placed
     }
--- a/src/main/kotlin/topazvale/reconcile/ProvisioningLog.kt
+++ b/src/main/kotlin/topazvale/reconcile/ProvisioningLog.kt
@@ -24,8 +24,8 @@
 
     /** A machine is to go back. */
     fun returnWanted(machine: ManagedMachine, reason: ReturnReason) = event(log.atInfo()) {
-        add("machine", machine.host).add("reason", reason).add("seenAge", machine.seenAt.age)
-            .add("tasks", machine.placed.size)
+        add("machine", machine.host).add("reason", reason).add("seenAge", machine.lastReportAt.age)
+            .add("tasks", machine.placements.size)
             .log("return_wanted")
     }
 
--- a/src/main/kotlin/topazvale/reconcile/ProvisioningLoop.kt
+++ b/src/main/kotlin/topazvale/reconcile/ProvisioningLoop.kt
@@ -35,7 +35,7 @@
     private var renting = false
 
     /** Machines rented together are one record, however few images it has space for. */
-    private val mostPerCall = MachineGroup.mostMachines(settings.stateLimits.valueBytes).coerceAtMost(MOST_PER_CALL)
+    private val mostPerCall = MachineGroup.maxMachines(settings.stateLimits.valueBytes).coerceAtMost(MOST_PER_CALL)
     private val workRequests = Channel<Unit>(Channel.CONFLATED)
 
     /** False while rents are on their way: what is worked out then does not know of them yet. */
@@ -110,7 +110,7 @@
 
     private fun rented(booking: String, rent: RentalRequest, hosts: List<String>) {
         decisions.rented(booking, rent.market, rent.count, hosts, term.renewed.elapsedNow())
-        cluster.add(booking, rent.market, clocks.now(), hosts, rentedByUs = true)
+        cluster.addMachines(booking, rent.market, clocks.now(), hosts, rentedInThisTerm = true)
         if (hosts.size < rent.count) refuse(rent.market)
     }
 
@@ -123,7 +123,7 @@
         val hosts = returning.map { it.host }
         if (hosts.isEmpty() || !cloud.release(hosts, term::certain)) return
         decisions.returned(hosts, term.renewed.elapsedNow())
-        returning.forEach(cluster::forget)
+        returning.forEach(cluster::removeReturned)
         refusedUntil -= returning.map { it.market }.toSet()
         context.requestPlan()
     }
--- a/src/main/kotlin/topazvale/reconcile/Rebuild.kt
+++ b/src/main/kotlin/topazvale/reconcile/Rebuild.kt
@@ -48,7 +48,9 @@
         }
         for (job in cluster.jobs.values) job.doneCount = job.done.cardinality()
         for (e in read(Keys.TASK_COUNTS)) if (isOver(e.key.removePrefix(Keys.TASK_COUNTS))) records.delete(e.key)
-        for (e in read(Keys.GROUPS)) readOrIncomplete(e, MachineGroupRecord::decode)?.let { cluster.load(e.key, it) }
+        for (e in read(Keys.GROUPS)) {
+            readOrIncomplete(e, MachineGroupRecord::decode)?.let { cluster.loadGroup(e.key, it) }
+        }
         placeRecorded(read(Keys.STARTS))
         return jobs.revision
     }
@@ -82,7 +84,7 @@
 
     private suspend fun readAll(prefix: String): Listing {
         val began = TimeSource.Monotonic.markNow()
-        val found = state.readAll(prefix)
+        val found = state.listAllWithRetry(prefix)
         decisions.recordsRead(prefix, found.entries.size, found.revision, began.elapsedNow())
         return found
     }
@@ -130,14 +132,14 @@
             PlacementOrigin.RECORDED,
         )
         // Of a job that cannot be read nobody knows what its user wants: like a stray it must not stay.
-        if (job == null) placed.stop = Duration.ZERO
-        starts.inherited(placed, batch)
+        if (job == null) placed.stopGracePeriod = Duration.ZERO
+        starts.loadRecorded(placed, batch)
         machine.session = maxOf(machine.session, row.session)
     }
 }
 
 /** All entries below a prefix, asked for until they come. */
-suspend fun StateService.readAll(prefix: String): Listing {
+suspend fun StateService.listAllWithRetry(prefix: String): Listing {
     while (true) {
         val found = listAll(prefix)
         if (found is Outcome.Ok) return found.value
--- a/src/main/kotlin/topazvale/reconcile/ReportOrders.kt
+++ b/src/main/kotlin/topazvale/reconcile/ReportOrders.kt
@@ -17,24 +17,24 @@
 
     /** The orders; starts among them are marked as sent. */
     fun list(): List<Order> {
-        if (report.tasks.isEmpty() && machine.placed.isEmpty()) return emptyList()
-        return machine.placed.values.flatMap(::orders) + clears()
+        if (report.tasks.isEmpty() && machine.placements.isEmpty()) return emptyList()
+        return machine.placements.values.flatMap(::orders) + clears()
     }
 
     private fun orders(placed: PlacedTask): List<Order> {
-        if (!placed.mayBeCommanded(records) || placed.session != machine.session) return emptyList()
+        if (!placed.mayBeSent(records) || placed.session != machine.session) return emptyList()
         val shown = listed[placed.start]
-        val grace = placed.stop
+        val grace = placed.stopGracePeriod
         return when {
             grace != null -> stop(placed, shown, Order.Stop(placed.start, grace))
-            shown == null && placed.state == null && !placed.inherited -> listOf(run(placed))
+            shown == null && placed.state == null && !placed.isInherited -> listOf(run(placed))
             else -> emptyList()
         }
     }
 
     private fun stop(placed: PlacedTask, shown: ReportedTask?, stop: Order.Stop): List<Order> = when {
         // A command that may still arrive is made void by letting the start begin and end at once.
-        shown == null && placed.unsettled -> listOf(Order.Run(placed.start), stop)
+        shown == null && placed.inDoubt -> listOf(Order.Run(placed.start), stop)
 
         shown?.state == TaskState.SAVING -> emptyList()
 
@@ -42,12 +42,14 @@
     }
 
     private fun run(placed: PlacedTask): Order {
-        placed.sent = true
-        placed.answeredReport = report.sequence
+        placed.startSent = true
+        placed.startSentInReport = report.sequence
         return Order.Run(placed.start)
     }
 
     private fun clears(): List<Order> = listed.values
-        .filter { it.state == TaskState.EXITED && it.start !in machine.placed && it.start !in machine.keptStarts }
+        .filter {
+            it.state == TaskState.EXITED && it.start !in machine.placements && it.start !in machine.retainedStarts
+        }
         .map { Order.Clear(it.start) }
 }
--- a/src/main/kotlin/topazvale/reconcile/ReportProcessor.kt
+++ b/src/main/kotlin/topazvale/reconcile/ReportProcessor.kt
@@ -23,22 +23,22 @@
     private val exits = TaskExits(cluster, runTimes, clocks, token, decisions)
 
     /** Updates the cluster state; true where something changed that the scheduler may act upon. */
-    fun take(report: Report, source: ReportSource): Boolean {
+    fun applyReport(report: Report, source: ReportSource): Boolean {
         val machine = machine(report) ?: return false
         val renewedBefore = machine.lease.renewedAt
-        machine.lease.heard(report, source, token)
+        machine.lease.recordMessage(report, source, token)
         if (!isNewer(report, machine)) {
             if (machine.lease.renewedAt != renewedBefore) overtaken(report, machine)
             return false
         }
         val answered = source == ReportSource.ANSWERED
-        if (answered) machine.responses.reported(report, token, report.session == machine.session, lease)
-        val fresh = machine.reportedAt == null || report.session > machine.session
+        if (answered) machine.responseDelivery.reported(report, token, report.session == machine.session, lease)
+        val fresh = machine.lastAnsweredReportAt == null || report.session > machine.session
         takeHead(machine, report, answered, fresh)
         var changed = fresh || report.notice != null
         for (task in report.tasks) changed = takeTask(machine, report, task) || changed
         // Under a lower token a former leader's command may still be on its way.
-        if (report.token >= token && machine.placed.isNotEmpty()) changed = dropMissing(machine, report) || changed
+        if (report.token >= token && machine.placements.isNotEmpty()) changed = dropMissing(machine, report) || changed
         return changed
     }
 
@@ -46,9 +46,9 @@
     fun orders(machine: ManagedMachine, report: Report) = ReportOrders(machine, report, records).list()
 
     /** A task is proven to be gone without a report of its exit. */
-    fun lost(placed: PlacedTask, proof: AbsenceProof) {
+    fun removeLost(placed: PlacedTask, proof: AbsenceProof) {
         decisions.confirmedAbsent(placed, proof)
-        cluster.remove(placed, reported = false)
+        cluster.removePlacement(placed, reported = false)
         cluster.jobs[placed.start.task.job]?.let(cluster::publishCounts)
     }
 
@@ -57,7 +57,7 @@
         if (cluster.isReturned(report.host)) return null
         if (report.host !in cluster.machines) {
             log.info("unexpected machine {}", report.host)
-            cluster.add(report.host, report.market, clocks.now(), listOf(report.host), rentedByUs = false)
+            cluster.addMachines(report.host, report.market, clocks.now(), listOf(report.host), rentedInThisTerm = false)
         }
         return cluster.machines[report.host]
     }
@@ -68,8 +68,8 @@
 
     /** The answer to a direct command came first; what the report shows is out of date, that it came is not. */
     private fun overtaken(report: Report, machine: ManagedMachine) {
-        machine.seenAt = clocks.mark()
-        machine.reportedAt = machine.seenAt
+        machine.lastReportAt = clocks.mark()
+        machine.lastAnsweredReportAt = machine.lastReportAt
         ClusterMetrics.reportOutOfOrder()
         decisions.reportOutOfOrder(report, machine)
     }
@@ -77,30 +77,30 @@
     private fun takeHead(machine: ManagedMachine, report: Report, answered: Boolean, fresh: Boolean) {
         if (report.session > machine.session) endSessions(machine, report.session)
         // A machine is idle from when it is up, not from when it was asked for.
-        if (machine.reportedAt == null) machine.idleSince = clocks.mark()
+        if (machine.lastAnsweredReportAt == null) machine.idleSince = clocks.mark()
         machine.endpoint = report.endpoint
         machine.session = report.session
         machine.sequence = report.sequence
-        machine.seenAt = clocks.mark()
-        if (answered || fresh) machine.reportedAt = machine.seenAt
-        if (answered) machine.placed.values.forEach { it.settleAnswersBefore(report.sequence) }
+        machine.lastReportAt = clocks.mark()
+        if (answered || fresh) machine.lastAnsweredReportAt = machine.lastReportAt
+        if (answered) machine.placements.values.forEach { it.acknowledgeResponsesBefore(report.sequence) }
         machine.noticeEndsAt = report.notice?.let { clocks.mark() + it }
     }
 
     private fun endSessions(machine: ManagedMachine, session: Long) {
         val proof = AbsenceProof.LaterSession(session)
-        machine.placed.values.filter { it.session < session }.forEach { lost(it, proof) }
-        machine.keptStarts.clear()
-        machine.arriving.clear()
-        machine.faults = 0
+        machine.placements.values.filter { it.session < session }.forEach { removeLost(it, proof) }
+        machine.retainedStarts.clear()
+        machine.fetchingImages.clear()
+        machine.consecutiveFailures = 0
     }
 
     private fun takeTask(machine: ManagedMachine, report: Report, task: ReportedTask): Boolean {
-        val placed = machine.placed[task.start] ?: return takeStray(machine, report, task)
+        val placed = machine.placements[task.start] ?: return takeStray(machine, report, task)
         if (placed.state == task.state) return false
         placed.state = task.state
         val job = cluster.jobs[task.start.task.job]
-        if (placed.onMachine && job != null) cluster.fetched(machine, job.spec.image)
+        if (placed.hasImage && job != null) cluster.imageFetched(machine, job.spec.image)
         if (task.state == TaskState.RUNNING) placed.runningSince = clocks.mark()
         if (task.state == TaskState.EXITED) exits.exited(placed, job, task.cause ?: ExitCause.ERROR)
         if (job != null) cluster.publishCounts(job)
@@ -112,9 +112,9 @@
         if (task.state == TaskState.EXITED) return false
         val job = cluster.jobs[task.start.task.job]
         val besides = cluster.ledger.of(task.start.task.job).of(task.start.task.index)
-        val stray = cluster.place(task.start, machine, report.session, PlacementOrigin.STRAY)
+        val stray = cluster.place(task.start, machine, report.session, PlacementOrigin.ORPHANED)
         stray.state = task.state
-        stray.stop = Duration.ZERO
+        stray.stopGracePeriod = Duration.ZERO
         decisions.orphanFound(stray, report, job != null, besides.map { it.machine.host })
         ClusterMetrics.orphanFound()
         return true
@@ -122,9 +122,9 @@
 
     private fun dropMissing(machine: ManagedMachine, report: Report): Boolean {
         val listed = report.tasks.mapTo(HashSet()) { it.start }
-        val missing = machine.placed.values.filter { it.start !in listed && it.mustBeListed }
+        val missing = machine.placements.values.filter { it.start !in listed && it.isExpectedInReports }
         val proof = AbsenceProof.NotListed(report.session, report.sequence, report.token)
-        missing.forEach { lost(it, proof) }
+        missing.forEach { removeLost(it, proof) }
         return missing.isNotEmpty()
     }
 }
--- a/src/main/kotlin/topazvale/reconcile/ResponseDelivery.kt
+++ b/src/main/kotlin/topazvale/reconcile/ResponseDelivery.kt
@@ -17,10 +17,10 @@
     private var answered: ComparableTimeMark? = null
 
     /** False once two answers in a row have left no trace. */
-    val arrive: Boolean get() = unacknowledged < ANSWERS
+    val isConfirmed: Boolean get() = unacknowledged < ANSWERS
 
     /** For how long answers have been leaving no trace. */
-    val undeliveredFor: Duration get() = if (arrive) Duration.ZERO else since?.elapsedNow() ?: Duration.ZERO
+    val unconfirmedFor: Duration get() = if (isConfirmed) Duration.ZERO else since?.elapsedNow() ?: Duration.ZERO
 
     /** A report to the leader with [ours] as its token came in; [inSession]: the worker's session has not changed. */
     fun reported(report: Report, ours: Long, inSession: Boolean, lease: Duration) {
--- a/src/main/kotlin/topazvale/reconcile/SnapshotBuilder.kt
+++ b/src/main/kotlin/topazvale/reconcile/SnapshotBuilder.kt
@@ -43,7 +43,7 @@
             objectives = settings.objectives,
             cpusPerGpu = cpusPerGpu(),
             services = jobs.services(now),
-            runningByImage = count({ it.image }) { it.onMachine && it.stop == null && !isReplica(it) },
+            runningByImage = count({ it.image }) { it.hasImage && it.stopGracePeriod == null && !isReplica(it) },
             placedByQueue = count({ it.queue }) { true },
             gpuWastingJobs = if (forProvisioning) misplaced() else emptyList(),
         )
@@ -69,6 +69,6 @@
 
     private fun misplaced(): List<JobSpec> = cluster.machines.values
         .filter { (cluster.types[it.market.type]?.capacity?.gpus ?: 0.0) > 0.0 }
-        .flatMap { machine -> machine.placed.values.mapNotNull { cluster.jobs[it.start.task.job]?.spec } }
+        .flatMap { machine -> machine.placements.values.mapNotNull { cluster.jobs[it.start.task.job]?.spec } }
         .filter { it.need.gpus == 0.0 && it.rank >= Rank.URGENT }
 }
--- a/src/main/kotlin/topazvale/reconcile/StartLog.kt
+++ b/src/main/kotlin/topazvale/reconcile/StartLog.kt
@@ -60,14 +60,14 @@
     }
 
     /** A former leader's start: on record already. */
-    fun inherited(placed: PlacedTask, batch: StartBatch) {
+    fun loadRecorded(placed: PlacedTask, batch: StartBatch) {
         placed.batch = batch
         placed.ticket = 0
         batch.live += placed
     }
 
     /** [reported]: its worker told of its exit, so that the next leader is soon told as well. */
-    fun gone(placed: PlacedTask, reported: Boolean) {
+    fun startEnded(placed: PlacedTask, reported: Boolean) {
         val batch = placed.batch ?: return
         placed.batch = null
         batch.live -= placed
--- a/src/main/kotlin/topazvale/reconcile/TaskExits.kt
+++ b/src/main/kotlin/topazvale/reconcile/TaskExits.kt
@@ -16,8 +16,8 @@
     /** The worker has reported the exit; [job] is null for one that is over. */
     fun exited(placed: PlacedTask, job: ManagedJob?, cause: ExitCause) {
         decisions.confirmedAbsent(placed, AbsenceProof.Exited(cause))
-        if (mayBeCommandedAgain(placed)) placed.machine.keptStarts += placed.start
-        cluster.remove(placed, reported = true)
+        if (mayBeCommandedAgain(placed)) placed.machine.retainedStarts += placed.start
+        cluster.removePlacement(placed, reported = true)
         if (job == null) return
         when (cause) {
             ExitCause.DONE -> if (job.spec.isService) replicaEnded(placed, job) else done(placed, job)
@@ -32,11 +32,11 @@
      * that this leader has started itself it is not known any more what became of the command.
      */
     private fun mayBeCommandedAgain(placed: PlacedTask) =
-        placed.unsettled || (placed.isStray && Attempts.termOf(placed.start.attempt) == token)
+        placed.inDoubt || (placed.isOrphaned && Attempts.termOf(placed.start.attempt) == token)
 
     private fun done(placed: PlacedTask, job: ManagedJob) {
         placed.runningSince?.let { runTimes.recordRun(job.spec, it.elapsedNow()) }
-        placed.machine.faults = 0
+        placed.machine.consecutiveFailures = 0
         job.recordSuccess()
         val tasks = if (job.spec.isGang) 0 until job.spec.tasks else listOf(placed.start.task.index)
         for (index in tasks) cluster.markDone(job, index)
@@ -49,7 +49,7 @@
             job.consecutiveFailures++
             job.notBefore = clocks.mark() + backoff(job.consecutiveFailures)
         }
-        if (job.recordFailure(placed.machine.host)) placed.machine.faults++
+        if (job.recordFailure(placed.machine.host)) placed.machine.consecutiveFailures++
     }
 
     /** A worker that keeps a result would end the replica again at once: it rests, and the others go on. */
--- a/src/main/kotlin/topazvale/reconcile/TaskStopper.kt
+++ b/src/main/kotlin/topazvale/reconcile/TaskStopper.kt
@@ -29,9 +29,9 @@
 
     /** Spares what it can of the work on a machine that is about to be taken. */
     private fun drain(machine: ManagedMachine) {
-        for (placed in machine.placed.values) {
+        for (placed in machine.placements.values) {
             val job = cluster.jobs[placed.start.task.job]
-            if (job != null && placed.stop == null && gainsByStop(placed, job.spec)) {
+            if (job != null && placed.stopGracePeriod == null && gainsByStop(placed, job.spec)) {
                 val grace = saving(placed)
                 val stopped = if (job.spec.isGang) job.placements.all else listOf(placed)
                 stopped.forEach { stop(it, grace, StopReason.MACHINE_TAKEN) }
@@ -40,7 +40,7 @@
     }
 
     /** A replica has nothing to lose, and the sooner it is proven gone, the sooner it serves elsewhere. */
-    private fun gainsByStop(placed: PlacedTask, spec: JobSpec) = spec.checkpoints || spec.isService || !placed.onMachine
+    private fun gainsByStop(placed: PlacedTask, spec: JobSpec) = spec.checkpoints || spec.isService || !placed.hasImage
 
     /** Stops a task to make room for a job of higher rank. */
     fun preempt(start: Start) {
@@ -52,15 +52,15 @@
     /** The grace in which a task can save what it has done, or none where there is nothing to save. */
     private fun saving(placed: PlacedTask): Duration {
         val spec = cluster.jobs[placed.start.task.job]?.spec
-        return if (spec != null && spec.checkpoints && placed.onMachine) spec.saveTime + SAVE_MARGIN else Duration.ZERO
+        return if (spec != null && spec.checkpoints && placed.hasImage) spec.saveTime + SAVE_MARGIN else Duration.ZERO
     }
 
     private fun stop(placed: PlacedTask, grace: Duration, reason: StopReason) {
-        val before = placed.stop
+        val before = placed.stopGracePeriod
         if (before != null && grace >= before) return
-        placed.stop = grace
+        placed.stopGracePeriod = grace
         decisions.stopRequested(placed, reason, grace)
-        directCommands.due(placed.machine)
+        directCommands.enqueue(placed.machine)
     }
 
     private companion object {
--- a/src/main/kotlin/topazvale/reconcile/TermHealth.kt
+++ b/src/main/kotlin/topazvale/reconcile/TermHealth.kt
@@ -38,8 +38,8 @@
         val limit = settings.workers.lease * SILENT_LEASES
         val known = cluster.machines.values.filter { it.session > 0 && !it.returning }
         return known.size > 1 && known.all { machine ->
-            val silent = (machine.seenAt ?: machine.knownSince).elapsedNow() > limit
-            silent || machine.responses.undeliveredFor > limit
+            val silent = (machine.lastReportAt ?: machine.knownSince).elapsedNow() > limit
+            silent || machine.responseDelivery.unconfirmedFor > limit
         }
     }
 
--- a/src/main/kotlin/topazvale/reconcile/WorkerLease.kt
+++ b/src/main/kotlin/topazvale/reconcile/WorkerLease.kt
@@ -47,7 +47,7 @@
     private var answeredSequence = NONE
 
     /** Takes note of a message of the worker, which answers come from the leader with the token [ours]. */
-    fun heard(report: Report, source: ReportSource, ours: Long) {
+    fun recordMessage(report: Report, source: ReportSource, ours: Long) {
         // The worker has ended that session, and drops what answers its reports.
         if (report.session < session) return
         val firstOfSession = renewedAt == null || report.session > session
--- a/src/test/kotlin/topazvale/reconcile/DirectCommandsTest.kt
+++ b/src/test/kotlin/topazvale/reconcile/DirectCommandsTest.kt
@@ -59,8 +59,8 @@
             it.copy(workers = it.workers.copy(report = 50.milliseconds))
         }
         val reports = ReportProcessor(cluster, records, 7, 14.seconds, RunTimes(), Clocks.SYSTEM)
-        cluster.add("r-1", market, Samples.now, listOf("n-old"), rentedByUs = false)
-        cluster.add("r-2", market, Samples.now, listOf("n-ours"), rentedByUs = true)
+        cluster.addMachines("r-1", market, Samples.now, listOf("n-old"), rentedInThisTerm = false)
+        cluster.addMachines("r-2", market, Samples.now, listOf("n-ours"), rentedInThisTerm = true)
         cluster.machines.values.forEach { it.endpoint = it.host }
         runBlocking {
             val supervised = SupervisedScope(coroutineContext) { throw it }
@@ -69,7 +69,7 @@
             val context =
                 TermContext(settings, term, services, Sockets(100, fixed = 0), supervised, Clocks.SYSTEM)
             val directCommands = DirectCommands(context, records, cluster, reports) { true }
-            val raising = launch { directCommands.raiseTokens(1.minutes) }
+            val raising = launch { directCommands.propagateToken(1.minutes) }
             withTimeout(30.seconds) { while (cluster.machines.getValue("n-old").token < 7) delay(20.milliseconds) }
             raising.cancel()
             supervised.cancel()
--- a/src/test/kotlin/topazvale/reconcile/PlacementLedgerTest.kt
+++ b/src/test/kotlin/topazvale/reconcile/PlacementLedgerTest.kt
@@ -24,7 +24,13 @@
     private val cluster = ClusterState(records, StartLog(records, 7, 8192), 8192, Clocks.SYSTEM)
 
     init {
-        cluster.add("r", Market("plain", "a", spot = false), Samples.now, listOf("n-1", "n-2"), rentedByUs = true)
+        cluster.addMachines(
+            "r",
+            Market("plain", "a", spot = false),
+            Samples.now,
+            listOf("n-1", "n-2"),
+            rentedInThisTerm = true,
+        )
     }
 
     private fun place(host: String, attempt: Long, origin: PlacementOrigin, job: String = "job-1") =
@@ -38,14 +44,14 @@
             val job = job("job-$firstGoesFirst")
             val placements = listOf(
                 place("n-1", 5, PlacementOrigin.STARTED, job.spec.id),
-                place("n-2", 4, PlacementOrigin.STRAY, job.spec.id),
+                place("n-2", 4, PlacementOrigin.ORPHANED, job.spec.id),
             )
             val order = if (firstGoesFirst) placements else placements.reversed()
             assertEquals(2, job.placements.size)
-            cluster.remove(order[0], reported = true)
+            cluster.removePlacement(order[0], reported = true)
             assertTrue(0 in job.placements, "$firstGoesFirst")
             assertEquals(listOf(order[1]), job.placements.of(0))
-            cluster.remove(order[1], reported = true)
+            cluster.removePlacement(order[1], reported = true)
             assertFalse(0 in job.placements, "$firstGoesFirst")
             assertEquals(emptyMap<String, Resources>(), cluster.usage())
         }
@@ -54,20 +60,20 @@
     @Test
     fun `what is left of a job that is over takes of its team's limit until it is gone`() {
         job("job-1")
-        val stray = place("n-1", 4, PlacementOrigin.STRAY)
+        val stray = place("n-1", 4, PlacementOrigin.ORPHANED)
         cluster.registry.markEnded("job-1", revision = 2, RecordSource.READ)
         assertEquals(mapOf("red" to Samples.array.need), cluster.usage())
-        cluster.remove(stray, reported = true)
+        cluster.removePlacement(stray, reported = true)
         assertEquals(emptyMap<String, Resources>(), cluster.usage())
     }
 
     @Test
     fun `a job that becomes known has the placements that were found before`() {
-        val stray = place("n-1", 4, PlacementOrigin.STRAY)
-        assertTrue(cluster.machines.getValue("n-1").holdsUnknown, "nobody knows what it takes")
+        val stray = place("n-1", 4, PlacementOrigin.ORPHANED)
+        assertTrue(cluster.machines.getValue("n-1").hasUnknownUsage, "nobody knows what it takes")
         assertTrue(0 in job("job-1").placements)
-        cluster.remove(stray, reported = true)
-        assertFalse(cluster.machines.getValue("n-1").holdsUnknown)
+        cluster.removePlacement(stray, reported = true)
+        assertFalse(cluster.machines.getValue("n-1").hasUnknownUsage)
     }
 
     @Test
--- a/src/test/kotlin/topazvale/reconcile/RebuildTest.kt
+++ b/src/test/kotlin/topazvale/reconcile/RebuildTest.kt
@@ -70,7 +70,7 @@
         for ((key, value) in rows) put(key, StartRecords.encode(value))
         val cluster = Leader(2).rebuilt().cluster
         val there = cluster.machines.values.flatMap { m ->
-            m.placed.keys.map { Triple(m.host, it.task.toString(), it.attempt) }
+            m.placements.keys.map { Triple(m.host, it.task.toString(), it.attempt) }
         }
         val expected = setOf(
             Triple("n-1", "job-1/0", 10L), // the only start of its task
@@ -109,7 +109,7 @@
         val leader = Leader(1)
         val many = Samples.array.copy(tasks = 3000)
         leader.cluster.addJob(JobRecord(many, Samples.now, JobStatus.LIVE), 1)
-        leader.cluster.add("r-1", market, Samples.now, (1..100).map { "n-$it" }, rentedByUs = true)
+        leader.cluster.addMachines("r-1", market, Samples.now, (1..100).map { "n-$it" }, rentedInThisTerm = true)
         val placed = (0 until 3000).map { i ->
             leader.cluster.place(
                 Start(TaskId("job-1", i), 5),
@@ -119,13 +119,13 @@
             )
         }
         leader.starts.record(placed)
-        assertTrue(placed.none { it.mayBeCommanded(leader.records) }, "no command leaves before it is written")
+        assertTrue(placed.none { it.mayBeSent(leader.records) }, "no command leaves before it is written")
         runBlocking { leader.records.flush() }
-        assertTrue(placed.all { it.mayBeCommanded(leader.records) })
+        assertTrue(placed.all { it.mayBeSent(leader.records) })
         val keys = store.values.keys.filter { it.startsWith(Keys.STARTS) }
         assertTrue(keys.size in 2..6, "$keys")
         for (key in keys) assertTrue(Records.size(store.values[key]?.data) < VALUE)
-        placed.forEach { leader.cluster.remove(it, reported = true) }
+        placed.forEach { leader.cluster.removePlacement(it, reported = true) }
         runBlocking { repeat(3) { leader.records.flushSpare() } }
         assertTrue(store.values.keys.none { it.startsWith(Keys.STARTS) })
     }
@@ -158,12 +158,12 @@
         store.mostOps = 8
         val leader = Leader(2, SMALL).rebuilt()
         val machines = leader.cluster.machines
-        assertEquals(1000, machines.values.sumOf { it.placed.size })
+        assertEquals(1000, machines.values.sumOf { it.placements.size })
         // Some are lost without a word, a machine learns an image, and many starts more go to one machine.
         machines.values.take(5).forEach { m ->
-            m.placed.values.toList().forEach { leader.cluster.remove(it, reported = false) }
+            m.placements.values.toList().forEach { leader.cluster.removePlacement(it, reported = false) }
         }
-        leader.cluster.fetched(machines.getValue("n-9"), "image-new")
+        leader.cluster.imageFetched(machines.getValue("n-9"), "image-new")
         val placed = (1200 until 1600).map { i ->
             leader.cluster.place(Start(TaskId(many.id, i), 99), machines.getValue("n-1"), 1, PlacementOrigin.STARTED)
         }
@@ -172,9 +172,9 @@
             withTimeout(10.seconds) { leader.records.flush() }
             withTimeout(10.seconds) { repeat(10) { leader.records.flushSpare() } }
         }
-        assertTrue(placed.all { it.mayBeCommanded(leader.records) })
+        assertTrue(placed.all { it.mayBeSent(leader.records) })
         val next = Leader(3, SMALL).rebuilt().cluster
-        assertEquals(400, next.machines.getValue("n-1").placed.keys.count { it.attempt == 99L })
+        assertEquals(400, next.machines.getValue("n-1").placements.keys.count { it.attempt == 99L })
     }
 
     @Test
--- a/src/test/kotlin/topazvale/reconcile/ReportProcessorTest.kt
+++ b/src/test/kotlin/topazvale/reconcile/ReportProcessorTest.kt
@@ -38,7 +38,7 @@
         val start = Start(TaskId("job-1", 0), 5)
 
         init {
-            cluster.add("r", market, Samples.now, listOf("n-1"), rentedByUs = !inherited)
+            cluster.addMachines("r", market, Samples.now, listOf("n-1"), rentedInThisTerm = !inherited)
             val machine = cluster.machines.getValue("n-1")
             machine.session = 3
             val placed = cluster.place(
@@ -47,7 +47,7 @@
                 3,
                 if (inherited) PlacementOrigin.RECORDED else PlacementOrigin.STARTED,
             )
-            if (inherited) starts.inherited(placed, StartBatch("s/1-1")) else starts.record(listOf(placed))
+            if (inherited) starts.loadRecorded(placed, StartBatch("s/1-1")) else starts.record(listOf(placed))
         }
 
         val there: Boolean get() = 0 in job.placements
@@ -73,10 +73,10 @@
         )
         for ((name, attempt, forgotten) in cases) {
             val leader = Leader(inherited = false)
-            leader.reports.take(report(3, 1, 7, task(attempt, TaskState.RUNNING)), ReportSource.ANSWERED)
-            assertTrue(leader.machine!!.placed.getValue(Start(TaskId("job-1", 0), attempt)).isStray)
+            leader.reports.applyReport(report(3, 1, 7, task(attempt, TaskState.RUNNING)), ReportSource.ANSWERED)
+            assertTrue(leader.machine!!.placements.getValue(Start(TaskId("job-1", 0), attempt)).isOrphaned)
             val exit = report(3, 2, 7, task(attempt, TaskState.EXITED, ExitCause.STOPPED))
-            leader.reports.take(exit, ReportSource.ANSWERED)
+            leader.reports.applyReport(exit, ReportSource.ANSWERED)
             val clear = Order.Clear(Start(TaskId("job-1", 0), attempt))
             assertEquals(forgotten, clear in leader.reports.orders(leader.machine!!, exit), name)
         }
@@ -110,7 +110,7 @@
         )
         for (c in cases) {
             val leader = Leader(c.inherited)
-            c.reports.forEach { leader.reports.take(it, ReportSource.ANSWERED) }
+            c.reports.forEach { leader.reports.applyReport(it, ReportSource.ANSWERED) }
             assertEquals(c.there, leader.there, c.name)
         }
     }
@@ -118,19 +118,19 @@
     @Test
     fun `late copies renew no lease, finish nothing twice and clear nothing that is there`() {
         val leader = Leader(inherited = false)
-        leader.reports.take(report(3, 5, 7, task(5, TaskState.RUNNING)), ReportSource.ANSWERED)
-        val heard = leader.machine!!.reportedAt
+        leader.reports.applyReport(report(3, 5, 7, task(5, TaskState.RUNNING)), ReportSource.ANSWERED)
+        val heard = leader.machine!!.lastAnsweredReportAt
         val exited = report(3, 4, 7, task(5, TaskState.EXITED, ExitCause.ERROR))
-        assertFalse(leader.reports.take(exited, ReportSource.ANSWERED))
-        assertEquals(heard, leader.machine!!.reportedAt, "a copy says nothing of the lease")
-        assertEquals(0, leader.machine!!.faults)
+        assertFalse(leader.reports.applyReport(exited, ReportSource.ANSWERED))
+        assertEquals(heard, leader.machine!!.lastAnsweredReportAt, "a copy says nothing of the lease")
+        assertEquals(0, leader.machine!!.consecutiveFailures)
         val done = report(3, 6, 7, task(5, TaskState.EXITED, ExitCause.DONE))
-        leader.reports.take(done, ReportSource.ANSWERED)
-        leader.reports.take(done, ReportSource.ANSWERED)
+        leader.reports.applyReport(done, ReportSource.ANSWERED)
+        leader.reports.applyReport(done, ReportSource.ANSWERED)
         assertEquals(1, leader.job.doneCount)
         assertEquals(listOf(Order.Clear(leader.start)), leader.reports.orders(leader.machine!!, done))
         val shown = report(3, 7, 7, task(6, TaskState.RUNNING))
-        leader.reports.take(shown, ReportSource.ANSWERED)
+        leader.reports.applyReport(shown, ReportSource.ANSWERED)
         assertTrue(leader.reports.orders(leader.machine!!, shown).none { it is Order.Clear })
     }
 
@@ -138,16 +138,16 @@
     fun `a start given in an answer that is still on its way is not gone because a straight stop finds nothing`() {
         val leader = Leader(inherited = false)
         val machine = leader.machine!!
-        machine.placed.getValue(leader.start).ticket = 0
+        machine.placements.getValue(leader.start).ticket = 0
         machine.group.ticket = 0
         val beat = report(3, 5, 7)
-        leader.reports.take(beat, ReportSource.ANSWERED)
+        leader.reports.applyReport(beat, ReportSource.ANSWERED)
         assertEquals(listOf(Order.Run(leader.start)), leader.reports.orders(machine, beat))
-        machine.placed.getValue(leader.start).stop = Duration.ZERO
+        machine.placements.getValue(leader.start).stopGracePeriod = Duration.ZERO
         // The stop was sent straight and has overtaken the answer.
-        leader.reports.take(report(3, 6, 7), ReportSource.DIRECT)
+        leader.reports.applyReport(report(3, 6, 7), ReportSource.DIRECT)
         assertTrue(leader.there, "the answer may still start it")
-        leader.reports.take(report(3, 7, 7), ReportSource.ANSWERED)
+        leader.reports.applyReport(report(3, 7, 7), ReportSource.ANSWERED)
         assertFalse(leader.there, "the next report was sent after the answer had come or was given up")
     }
 
@@ -155,13 +155,17 @@
     fun `a session first seen in the answer to a straight order has a lease of its own`() {
         val time = TestTimeSource()
         val leader = Leader(inherited = false, Clocks(time, Clock.System))
-        leader.reports.take(report(3, 5, 7), ReportSource.ANSWERED)
+        leader.reports.applyReport(report(3, 5, 7), ReportSource.ANSWERED)
         val machine = leader.machine!!
         time += 10.seconds
-        leader.reports.take(report(3, 6, 7), ReportSource.DIRECT)
-        assertEquals(10.seconds, machine.reportedAt?.elapsedNow(), "an answer to a straight order renews nothing")
-        leader.reports.take(report(4, 1, 7), ReportSource.DIRECT)
-        assertEquals(0.seconds, machine.reportedAt?.elapsedNow(), "the new session may have begun just now")
+        leader.reports.applyReport(report(3, 6, 7), ReportSource.DIRECT)
+        assertEquals(
+            10.seconds,
+            machine.lastAnsweredReportAt?.elapsedNow(),
+            "an answer to a straight order renews nothing",
+        )
+        leader.reports.applyReport(report(4, 1, 7), ReportSource.DIRECT)
+        assertEquals(0.seconds, machine.lastAnsweredReportAt?.elapsedNow(), "the new session may have begun just now")
     }
 
     /**
@@ -179,12 +183,12 @@
         for (c in cases) {
             val time = TestTimeSource()
             val leader = Leader(inherited = false, Clocks(time, Clock.System))
-            leader.reports.take(report(3, 5, 7), ReportSource.ANSWERED)
+            leader.reports.applyReport(report(3, 5, 7), ReportSource.ANSWERED)
             time += 9.seconds
-            leader.reports.take(report(3, 7, 7), ReportSource.DIRECT)
+            leader.reports.applyReport(report(3, 7, 7), ReportSource.DIRECT)
             time += 1.seconds
-            leader.reports.take(report(3, c.sequence, 7), ReportSource.ANSWERED)
-            assertEquals(c.age, leader.machine!!.reportedAt?.elapsedNow(), c.name)
+            leader.reports.applyReport(report(3, c.sequence, 7), ReportSource.ANSWERED)
+            assertEquals(c.age, leader.machine!!.lastAnsweredReportAt?.elapsedNow(), c.name)
         }
     }
 
@@ -192,20 +196,23 @@
     @Test
     fun `a stray is stopped, and counts for its task and its team until it is gone`() {
         val leader = Leader(inherited = false)
-        leader.cluster.add("r-2", market, Samples.now, listOf("n-2"), rentedByUs = true)
+        leader.cluster.addMachines("r-2", market, Samples.now, listOf("n-2"), rentedInThisTerm = true)
         val stray = ReportedTask(Start(TaskId("job-1", 0), 4), TaskState.RUNNING, null, false)
         val found = Report("n-2", "127.0.0.1:2", market, 1, 1, 7, null, listOf(stray))
-        leader.reports.take(found, ReportSource.ANSWERED)
+        leader.reports.applyReport(found, ReportSource.ANSWERED)
         val orders = leader.reports.orders(leader.cluster.machines.getValue("n-2"), found)
         assertEquals(listOf<Order>(Order.Stop(stray.start, Duration.ZERO)), orders, "it must not stay")
         assertEquals(Samples.array.need * 2, leader.cluster.usage()["red"], "both take of the team's limit")
         val exited = task(5, TaskState.EXITED, ExitCause.STOPPED)
-        leader.reports.take(report(3, 6, 7, exited), ReportSource.ANSWERED)
+        leader.reports.applyReport(report(3, 6, 7, exited), ReportSource.ANSWERED)
         assertEquals(Samples.array.need, leader.cluster.usage()["red"], "the stray is still there")
         assertEquals(listOf(1, 2, 3), leader.job.nextTasks(9), "its task must not start beside it")
         assertEquals(3, leader.job.pendingTasks)
         assertFalse(leader.job.placements.isEmpty(), "nor may the job end")
-        leader.reports.take(Report("n-2", "127.0.0.1:2", market, 1, 2, 7, null, emptyList()), ReportSource.ANSWERED)
+        leader.reports.applyReport(
+            Report("n-2", "127.0.0.1:2", market, 1, 2, 7, null, emptyList()),
+            ReportSource.ANSWERED,
+        )
         assertEquals(listOf(0, 1, 2, 3), leader.job.nextTasks(9))
         assertEquals(null, leader.cluster.usage()["red"])
     }
@@ -218,7 +225,7 @@
         for (task in listOf("job-1", "job-over")) {
             val start = Start(TaskId(task, 3), 4)
             val found = report(3, machine.sequence + 1, 7, ReportedTask(start, TaskState.RUNNING, null, false))
-            leader.reports.take(found, ReportSource.ANSWERED)
+            leader.reports.applyReport(found, ReportSource.ANSWERED)
             val stops = leader.reports.orders(machine, found).filterIsInstance<Order.Stop>()
             assertEquals(listOf(Order.Stop(start, Duration.ZERO)), stops, task)
         }
@@ -231,17 +238,20 @@
             val leader = Leader(inherited = false)
             leader.cluster.addJob(JobRecord(spec, Samples.now, JobStatus.LIVE), 1)
             val hosts = (2..7).map { "n-$it" }
-            leader.cluster.add("r-2", market, Samples.now, hosts, rentedByUs = true)
+            leader.cluster.addMachines("r-2", market, Samples.now, hosts, rentedInThisTerm = true)
             hosts.forEachIndexed { i, host ->
                 val machine = leader.cluster.machines.getValue(host)
                 machine.session = 1
                 val starts = (1..4).map { Start(TaskId("job-1", i * 4 + it), 10L + i) }
                 starts.forEach { leader.cluster.place(it, machine, 1, PlacementOrigin.STARTED) }
                 val failed = starts.map { ReportedTask(it, TaskState.EXITED, ExitCause.ERROR, false) }
-                leader.reports.take(Report(host, "127.0.0.1:1", market, 1, 1, 7, null, failed), ReportSource.ANSWERED)
+                leader.reports.applyReport(
+                    Report(host, "127.0.0.1:1", market, 1, 1, 7, null, failed),
+                    ReportSource.ANSWERED,
+                )
             }
             val faulty = hosts.filter {
-                leader.cluster.machines.getValue(it).faults >= MachineSnapshots.MAX_CONSECUTIVE_FAILURES
+                leader.cluster.machines.getValue(it).consecutiveFailures >= MachineSnapshots.MAX_CONSECUTIVE_FAILURES
             }
             assertEquals(listOf("n-2", "n-3"), faulty, "${spec.shape}")
         }
@@ -252,17 +262,17 @@
         val leader = Leader(inherited = false)
         fun other(state: TaskState, cause: ExitCause? = null) =
             ReportedTask(Start(TaskId("job-1", 900), 9), state, cause, false)
-        leader.reports.take(report(3, 5, 7, other(TaskState.RUNNING)), ReportSource.ANSWERED)
-        leader.reports.take(report(3, 6, 7, other(TaskState.EXITED, ExitCause.DONE)), ReportSource.ANSWERED)
+        leader.reports.applyReport(report(3, 5, 7, other(TaskState.RUNNING)), ReportSource.ANSWERED)
+        leader.reports.applyReport(report(3, 6, 7, other(TaskState.EXITED, ExitCause.DONE)), ReportSource.ANSWERED)
         assertEquals(0, leader.job.doneCount)
     }
 
     @Test
     fun `a machine that has gone back is not brought back by its late words`() {
         val leader = Leader(inherited = false)
-        leader.cluster.forget(leader.machine!!)
+        leader.cluster.removeReturned(leader.machine!!)
         assertFalse(leader.there)
-        assertFalse(leader.reports.take(report(3, 50, 7, task(5, TaskState.RUNNING)), ReportSource.ANSWERED))
+        assertFalse(leader.reports.applyReport(report(3, 50, 7, task(5, TaskState.RUNNING)), ReportSource.ANSWERED))
         assertEquals(null, leader.machine)
         assertFalse(leader.there)
     }
--- a/src/test/kotlin/topazvale/reconcile/ResponseDeliveryTest.kt
+++ b/src/test/kotlin/topazvale/reconcile/ResponseDeliveryTest.kt
@@ -50,7 +50,7 @@
                 responses.answered(start)
                 responses.reported(report(1, token, shows), ours = 7, inSession, lease = 14.seconds)
             }
-            assertEquals(c.good, responses.arrive, c.name)
+            assertEquals(c.good, responses.isConfirmed, c.name)
         }
     }
 }
--- a/src/test/kotlin/topazvale/reconcile/SnapshotBuilderTest.kt
+++ b/src/test/kotlin/topazvale/reconcile/SnapshotBuilderTest.kt
@@ -23,7 +23,7 @@
     fun `replicas are not among the tasks that will soon leave a machine with their image`() {
         val records = RecordWriter(FakeStateService(FakeStateStore()), Condition("leader", 7), 16)
         val cluster = ClusterState(records, StartLog(records, 7, 8192), 8192, Clocks.SYSTEM)
-        cluster.add("r-1", Market("plain", "a", false), Samples.now, listOf("n-1"), rentedByUs = true)
+        cluster.addMachines("r-1", Market("plain", "a", false), Samples.now, listOf("n-1"), rentedInThisTerm = true)
         for (spec in listOf(Samples.service, Samples.array)) {
             cluster.addJob(JobRecord(spec, Samples.now, JobStatus.LIVE), 1)
             val start = Start(TaskId(spec.id, 0), 1)
--- a/src/test/kotlin/topazvale/reconcile/WorkerLeaseTest.kt
+++ b/src/test/kotlin/topazvale/reconcile/WorkerLeaseTest.kt
@@ -86,7 +86,7 @@
             for (message in c.messages) {
                 time += message.after - now
                 now = message.after
-                lease.heard(report(message), message.source, OURS)
+                lease.recordMessage(report(message), message.source, OURS)
             }
             time += c.end - now - 1.milliseconds
             assertEquals(true, lease.mayRun(rules), "${c.name}: until ${c.end}")
