--- a/src/main/kotlin/topazvale/Controller.kt
+++ b/src/main/kotlin/topazvale/Controller.kt
@@ -10,7 +10,7 @@
 import topazvale.leader.Election
 import topazvale.leader.Term
 import topazvale.leader.TermListener
-import topazvale.mesh.CancellationKnowledge
+import topazvale.mesh.CancellationTracker
 import topazvale.mesh.PeerClient
 import topazvale.mesh.PeerStatus
 import topazvale.mesh.Peers
@@ -29,7 +29,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** Where a controller runs: its coroutines on one event loop, its sockets, its clocks. */
-class Runtime(val scope: SupervisedScope, val sockets: Sockets, val clocks: Clocks, val random: Random)
+class ControllerRuntime(val scope: SupervisedScope, val sockets: Sockets, val clocks: Clocks, val random: Random)
 
 /**
  * One controller, whatever brings it its requests: answers users at any time, and leads while it holds the leader key.
@@ -39,17 +39,17 @@
     private val settings: Settings,
     private val services: ServiceClients,
     peerClient: PeerClient,
-    private val runtime: Runtime,
+    private val runtime: ControllerRuntime,
 ) {
     private val state = services.state
     private val scope = runtime.scope
     private val clocks = runtime.clocks
     private val started = clocks.mark()
     private val peers =
-        Peers(scope, settings.seeds.filter { it.member != settings.member }, peerClient, clocks) {
+        Peers(scope, settings.peers.filter { it.member != settings.member }, peerClient, clocks) {
             state.silence < TOUCH_INTERVAL * 2
         }
-    private val cancellations = CancellationKnowledge(settings.workers.cancel, peers, clocks)
+    private val cancellations = CancellationTracker(settings.workers.cancelLimit, peers, clocks)
     private val life = runtime.random.nextLong().toULong().toString(HEXADECIMAL)
     private val election = Election(
         state,
@@ -87,7 +87,7 @@
      * renewed at the very end run out in time for it.
      */
     private val grace: Duration =
-        (settings.workers.cancel - settings.workers.lease - GRACE_MARGIN).coerceAtLeast(Duration.ZERO)
+        (settings.workers.cancelLimit - settings.workers.lease - GRACE_MARGIN).coerceAtLeast(Duration.ZERO)
 
     /** Starts the loops of every controller: peers, machine types, the state service, elections. */
     fun start() {
@@ -109,9 +109,9 @@
         val cancelledJobs = cancellations.log.ids.toList()
         return PeerStatus(
             settings.member,
-            stateSilenceMs = minOf(state.silence, life).inWholeMilliseconds,
+            stateUnresponsiveMs = minOf(state.silence, life).inWholeMilliseconds,
             token = election.term?.token ?: 0,
-            cancellationsCompleteMs = cancellations.log.covers.inWholeMilliseconds,
+            cancellationsCompleteMs = cancellations.log.completeFor.inWholeMilliseconds,
             cancelledJobs = cancelledJobs,
             highestLedToken = election.highestToken,
         )
@@ -130,7 +130,7 @@
         val own = scope.child()
         val context = TermContext(settings, term, services, runtime.sockets, own, clocks)
         termScope = own
-        leadership = Leadership(context, grace, cancellations::reported).also { it.start() }
+        leadership = Leadership(context, grace, cancellations::reportedJobs).also { it.start() }
     }
 
     private fun stepDown() {
@@ -141,18 +141,18 @@
     private fun leadershipStatus(): LeadershipStatus {
         val term = election.term
         val current = leadership
-        if (term == null || term.over || current == null) return LeadershipStatus.Following(election.leader)
+        if (term == null || term.ended || current == null) return LeadershipStatus.Following(election.leader)
         if (highestToken(peers.all) > term.token) {
             term.end()
             return LeadershipStatus.Following(null)
         }
         // Neither alone will do: a leader whose watch still speaks may have lost its lease, and one that keeps its
         // lease may not see what users cancel.
-        val known = cancellations.knownUpTo(minOf(term.renewed, current.currentAsOf))
+        val known = cancellations.completeUntil(minOf(term.lastRenewedAt, current.currentAsOf))
         return if (known.elapsedNow() > grace) {
-            LeadershipStatus.Uncertain(current::applyUnanswered)
+            LeadershipStatus.GracePeriodExpired(current::applyUnanswered)
         } else {
-            LeadershipStatus.AsLeader(term.token, current::respond)
+            LeadershipStatus.Leading(term.token, current::respond)
         }
     }
 
--- a/src/main/kotlin/topazvale/Node.kt
+++ b/src/main/kotlin/topazvale/Node.kt
@@ -18,7 +18,7 @@
 /** A controller that is reached over HTTP: by users and workers at one address, by its peers at another. */
 class Node(private val vertx: Vertx, private val settings: Settings, services: ServiceClients, sockets: Sockets) {
     private val scope = SupervisedScope(vertx.orCreateContext.dispatcher(), ExitOnFatalFailure)
-    private val runtime = Runtime(scope, sockets, Clocks.SYSTEM, Random.Default)
+    private val runtime = ControllerRuntime(scope, sockets, Clocks.SYSTEM, Random.Default)
     private val controller = Controller(settings, services, HttpPeerClient(vertx), runtime)
     private val handlers = Handlers(controller.submissions, controller.reports, controller::healthy)
     private val server =
@@ -27,7 +27,7 @@
     /** Starts listening and taking part in elections; returns the port for users and workers. */
     suspend fun start(): Int {
         // For what runs on the event loop outside of coroutines: connections, and the peers' questions.
-        vertx.exceptionHandler { scope.failed("event loop", it) }
+        vertx.exceptionHandler { scope.reportFailure("event loop", it) }
         val port = server.listen(settings.bind)
         servePeerStatus(vertx, settings.mesh, controller::peerStatus)
         controller.start()
--- a/src/main/kotlin/topazvale/api/Answer.kt
+++ b/src/main/kotlin/topazvale/api/ApiResponse.kt
@@ -8,7 +8,7 @@
 import topazvale.wire.Cbor
 
 /** An HTTP response before it is sent. */
-class Answer(
+class ApiResponse(
     val status: Int,
     val body: ByteArray,
     val retryAfterS: Int? = null,
@@ -18,19 +18,19 @@
 ) {
     companion object {
         /** A response with a CBOR body. */
-        fun of(status: Int, body: Map<String, Any?>) = Answer(status, Cbor.encode(body))
+        fun of(status: Int, body: Map<String, Any?>) = ApiResponse(status, Cbor.encode(body))
 
         /** A response that says what is wrong with the request. */
         fun error(status: Int, message: String) = of(status, mapOf("error" to message))
 
         /** Nothing can be said now; the caller learns when to come back. */
-        fun later(message: String, close: Boolean = false) =
-            Answer(HttpStatus.UNAVAILABLE, Cbor.encode(mapOf("error" to message)), retryAfterS = 1, close = close)
+        fun retryLater(message: String, close: Boolean = false) =
+            ApiResponse(HttpStatus.UNAVAILABLE, Cbor.encode(mapOf("error" to message)), retryAfterS = 1, close = close)
     }
 }
 
 /** Sends [answer], unless the caller has gone meanwhile. */
-internal fun HttpServerResponse.send(answer: Answer, close: Boolean) {
+internal fun HttpServerResponse.send(answer: ApiResponse, close: Boolean) {
     if (ended() || closed()) return
     statusCode = answer.status
     answer.retryAfterS?.let { putHeader("Retry-After", it.toString()) }
--- a/src/main/kotlin/topazvale/api/JobAdmission.kt
+++ b/src/main/kotlin/topazvale/api/JobAdmission.kt
@@ -59,7 +59,7 @@
     }
 
     private fun exceedsLimit(spec: JobSpec, team: Team): Boolean {
-        val wanted = spec.need * (if (spec.wholly) spec.tasks else 1)
+        val wanted = spec.need * (if (spec.runsAllTasksAtOnce) spec.tasks else 1)
         val limit =
             Resources(team.limitCpus ?: Double.MAX_VALUE, team.limitGpus ?: Double.MAX_VALUE, Double.MAX_VALUE)
         return !wanted.fitsIn(limit)
--- a/src/main/kotlin/topazvale/api/Server.kt
+++ b/src/main/kotlin/topazvale/api/Server.kt
@@ -55,7 +55,7 @@
         }
     }
 
-    private suspend fun answer(request: HttpServerRequest): Answer = try {
+    private suspend fun answer(request: HttpServerRequest): ApiResponse = try {
         val body = request.bodyUpTo(BODY_LIMIT)
         if (body == null) TOO_LARGE else route(request.method(), request.path().orEmpty(), body)
     } catch (e: CancellationException) {
@@ -64,11 +64,11 @@
         // Whatever fails, the caller gets an answer.
         @Suppress("TooGenericExceptionCaught") e: Throwable,
     ) {
-        scope.failed("request of ${kind(request.path().orEmpty())}", e)
-        Answer.error(HttpStatus.INTERNAL_ERROR, "internal error")
+        scope.reportFailure("request of ${kind(request.path().orEmpty())}", e)
+        ApiResponse.error(HttpStatus.INTERNAL_ERROR, "internal error")
     }
 
-    private suspend fun route(method: HttpMethod, path: String, body: ByteArray): Answer = when (path) {
+    private suspend fun route(method: HttpMethod, path: String, body: ByteArray): ApiResponse = when (path) {
         "/healthz" -> only(method, HttpMethod.GET) { health() }
         "/metrics" -> only(method, HttpMethod.GET) { metrics() }
         "/agent/beat" -> only(method, HttpMethod.POST) { report(body) }
@@ -76,7 +76,7 @@
         else -> routeJob(method, path.removePrefix("/").split('/'))
     }
 
-    private suspend fun routeJob(method: HttpMethod, parts: List<String>): Answer {
+    private suspend fun routeJob(method: HttpMethod, parts: List<String>): ApiResponse {
         val id = parts.getOrNull(1)
         return when {
             parts.first() != "submissions" || id == null -> NO_SUCH_PATH
@@ -90,21 +90,21 @@
         }
     }
 
-    private inline fun only(method: HttpMethod, allowed: HttpMethod, answer: () -> Answer): Answer =
-        if (method == allowed) answer() else Answer.error(HttpStatus.METHOD_NOT_ALLOWED, "method not allowed")
+    private inline fun only(method: HttpMethod, allowed: HttpMethod, answer: () -> ApiResponse): ApiResponse =
+        if (method == allowed) answer() else ApiResponse.error(HttpStatus.METHOD_NOT_ALLOWED, "method not allowed")
 
-    private fun health(): Answer = if (handlers.healthy()) {
-        Answer.of(HttpStatus.OK, mapOf("ok" to true))
+    private fun health(): ApiResponse = if (handlers.healthy()) {
+        ApiResponse.of(HttpStatus.OK, mapOf("ok" to true))
     } else {
-        Answer.later("the state service does not answer")
+        ApiResponse.retryLater("the state service does not answer")
     }
 
-    private fun metrics() = Answer(HttpStatus.OK, metrics.text().toByteArray(), type = "text/plain")
+    private fun metrics() = ApiResponse(HttpStatus.OK, metrics.text().toByteArray(), type = "text/plain")
 
-    private fun report(body: ByteArray): Answer = try {
+    private fun report(body: ByteArray): ApiResponse = try {
         handlers.reports.report(WorkerWire.report(body))
     } catch (e: MalformedException) {
-        Answer.error(HttpStatus.BAD_REQUEST, e.message.orEmpty())
+        ApiResponse.error(HttpStatus.BAD_REQUEST, e.message.orEmpty())
     }
 
     private fun kind(path: String) = when {
@@ -120,8 +120,8 @@
         /** `submissions/{id}` and `submissions/{id}/abort`. */
         const val POLL_PARTS = 2
         const val CANCEL_PARTS = 3
-        val NO_SUCH_PATH = Answer.error(HttpStatus.NOT_FOUND, "no such path")
+        val NO_SUCH_PATH = ApiResponse.error(HttpStatus.NOT_FOUND, "no such path")
         val TOO_LARGE =
-            Answer(HttpStatus.CONTENT_TOO_LARGE, Cbor.encode(mapOf("error" to "body too large")), close = true)
+            ApiResponse(HttpStatus.CONTENT_TOO_LARGE, Cbor.encode(mapOf("error" to "body too large")), close = true)
     }
 }
--- a/src/main/kotlin/topazvale/api/SubmissionApi.kt
+++ b/src/main/kotlin/topazvale/api/SubmissionApi.kt
@@ -40,7 +40,7 @@
     private val finalStates = FinalStates(state)
 
     /** `POST /submissions`. */
-    suspend fun submit(body: ByteArray): Answer {
+    suspend fun submit(body: ByteArray): ApiResponse {
         val spec = try {
             JobWire.submission(body)
         } catch (e: MalformedException) {
@@ -51,13 +51,13 @@
         return when {
             final != null -> view(final, spec.id)
             !served() -> unserved()
-            !admission.ready -> Answer.later("machine types are not known yet")
+            !admission.ready -> ApiResponse.retryLater("machine types are not known yet")
             else -> admit(spec)
         }
     }
 
     /** `GET /submissions/{id}`. */
-    suspend fun poll(id: String): Answer {
+    suspend fun poll(id: String): ApiResponse {
         if (!JobWire.isId(id)) return NO_SUCH_JOB
         finalStates.known(id)?.let { return view(it, id) }
         if (!served()) return unserved()
@@ -72,16 +72,16 @@
     }
 
     /** `POST /submissions/{id}/abort`. */
-    suspend fun cancel(id: String): Answer {
+    suspend fun cancel(id: String): ApiResponse {
         if (!JobWire.isId(id)) return NO_SUCH_JOB
         if (!served()) return finalStates.known(id)?.let { cancelAnswer(it, id) } ?: unserved()
         repeat(CANCEL_ATTEMPTS) {
             tryCancel(id)?.let { return it }
         }
-        return Answer.later("the job keeps changing")
+        return ApiResponse.retryLater("the job keeps changing")
     }
 
-    private suspend fun admit(spec: JobSpec): Answer {
+    private suspend fun admit(spec: JobSpec): ApiResponse {
         val record = JobRecords.encode(JobRecord(spec, clocks.now(), JobStatus.LIVE))
         admission.refusal(spec, record)?.let { return refuse(spec.id, it) }
         val commit = state.commit(
@@ -89,7 +89,7 @@
             listOf(Change.Put(Keys.job(spec.id), record)),
         )
         return when (commit) {
-            is Commit.Done -> Answer.of(HttpStatus.CREATED, mapOf("uid" to spec.id, "status" to "queued"))
+            is Commit.Done -> ApiResponse.of(HttpStatus.CREATED, mapOf("uid" to spec.id, "status" to "queued"))
             is Commit.Failed -> poll(spec.id)
             is Commit.Refused -> OVERLOADED
             is Commit.Invalid -> refuse(spec.id, JobAdmission.TOO_LARGE)
@@ -98,19 +98,19 @@
     }
 
     /** A job that is known is answered for, whatever a repeated submission of it now says. */
-    private suspend fun malformed(body: ByteArray, cause: MalformedException): Answer {
+    private suspend fun malformed(body: ByteArray, cause: MalformedException): ApiResponse {
         val refusal = Refusal(HttpStatus.BAD_REQUEST, cause.message.orEmpty())
-        return JobWire.idOf(body)?.let { refuse(it, refusal) } ?: Answer.error(refusal.status, refusal.message)
+        return JobWire.idOf(body)?.let { refuse(it, refusal) } ?: ApiResponse.error(refusal.status, refusal.message)
     }
 
     /** A job that was accepted stays accepted, even if it would be refused today. */
-    private suspend fun refuse(id: String, refusal: Refusal): Answer {
+    private suspend fun refuse(id: String, refusal: Refusal): ApiResponse {
         val known = poll(id)
-        return if (known.status == HttpStatus.NOT_FOUND) Answer.error(refusal.status, refusal.message) else known
+        return if (known.status == HttpStatus.NOT_FOUND) ApiResponse.error(refusal.status, refusal.message) else known
     }
 
     /** Null where the job has changed meanwhile, so that it has to be looked at again. */
-    private suspend fun tryCancel(id: String): Answer? {
+    private suspend fun tryCancel(id: String): ApiResponse? {
         finalStates.known(id)?.let { return cancelAnswer(it, id) }
         return when (val job = state.get(Keys.job(id))) {
             is Outcome.Ok -> record(job.value)?.let { cancelLive(id, it, job.value.version) ?: return null }
@@ -122,15 +122,15 @@
         }
     }
 
-    private suspend fun cancelLive(id: String, record: JobRecord, version: Long): Answer? {
+    private suspend fun cancelLive(id: String, record: JobRecord, version: Long): ApiResponse? {
         if (record.status == JobStatus.CANCELLED) return cancelled(id)
-        cancellations.asked(id)
+        cancellations.requested(id)
         val commit = state.commit(
             listOf(Condition(Keys.job(id), version)),
             listOf(Change.Put(Keys.job(id), admission.cancelledRecord(record))),
         )
         // Only where the transaction was certainly not carried out is the cancellation taken off the log again.
-        if (commit is Commit.Failed || commit is Commit.Refused) cancellations.dropped(id)
+        if (commit is Commit.Failed || commit is Commit.Refused) cancellations.withdrawn(id)
         return when (commit) {
             is Commit.Done -> cancelled(id)
             is Commit.Failed -> null
@@ -139,12 +139,12 @@
         }
     }
 
-    private fun cancelled(id: String): Answer {
-        cancellations.told(id)
+    private fun cancelled(id: String): ApiResponse {
+        cancellations.confirmed(id)
         return cancelAnswer(JobStatus.CANCELLED, id)
     }
 
-    private suspend fun final(id: String, answer: (JobStatus, String) -> Answer): Answer =
+    private suspend fun final(id: String, answer: (JobStatus, String) -> ApiResponse): ApiResponse =
         when (val status = finalStates.read(id)) {
             is Outcome.Ok -> answer(status.value, id)
             is Outcome.Gone -> NO_SUCH_JOB
@@ -153,33 +153,33 @@
 
     private fun record(entry: Entry): JobRecord? = Records.readOrNull(entry.key, entry.data, JobRecords::decode)
 
-    private fun view(id: String, record: JobRecord, counts: TaskCountRecord?): Answer {
+    private fun view(id: String, record: JobRecord, counts: TaskCountRecord?): ApiResponse {
         if (record.status == JobStatus.CANCELLED) {
-            cancellations.told(id)
+            cancellations.confirmed(id)
             return view(JobStatus.CANCELLED, id)
         }
-        return Answer.of(
+        return ApiResponse.of(
             HttpStatus.OK,
             JobWire.view(JobView(id, JobStatus.LIVE, counts?.done ?: 0, counts?.running ?: 0)),
         )
     }
 
     private fun view(status: JobStatus, id: String) =
-        Answer.of(HttpStatus.OK, JobWire.view(JobView(id, status, done = 0, running = 0)))
+        ApiResponse.of(HttpStatus.OK, JobWire.view(JobView(id, status, done = 0, running = 0)))
 
     private fun cancelAnswer(status: JobStatus, id: String) =
-        Answer.of(HttpStatus.OK, JobWire.cancelled(JobView(id, status, done = 0, running = 0)))
+        ApiResponse.of(HttpStatus.OK, JobWire.cancelled(JobView(id, status, done = 0, running = 0)))
 
     private companion object {
         const val CANCEL_ATTEMPTS = 4
-        val NO_SUCH_JOB = Answer.error(HttpStatus.NOT_FOUND, "no such job")
-        val NO_ANSWER = Answer.later("no word from the state service")
-        val OVERLOADED = Answer.later("too much is asked at the moment")
+        val NO_SUCH_JOB = ApiResponse.error(HttpStatus.NOT_FOUND, "no such job")
+        val NO_ANSWER = ApiResponse.retryLater("no word from the state service")
+        val OVERLOADED = ApiResponse.retryLater("too much is asked at the moment")
 
         /** The job is there, so that a user must not hear that it is not; another controller may be able to read it. */
-        val UNREADABLE = Answer.later("the job's record cannot be read")
+        val UNREADABLE = ApiResponse.retryLater("the job's record cannot be read")
 
         /** A call would only run into its time limit: the user is told at once, and sent elsewhere. */
-        fun unserved() = Answer.later("no word from the state service", close = true)
+        fun unserved() = ApiResponse.retryLater("no word from the state service", close = true)
     }
 }
--- a/src/main/kotlin/topazvale/cli/Main.kt
+++ b/src/main/kotlin/topazvale/cli/Main.kt
@@ -64,7 +64,7 @@
 
     override fun call(): Int {
         val settings = loadSettings(config, tuning) ?: return BAD_SETTINGS
-        println("${settings.member}: ${settings.teams.size} teams, ${settings.seeds.size} peers; all in order")
+        println("${settings.member}: ${settings.teams.size} teams, ${settings.peers.size} peers; all in order")
         return 0
     }
 }
@@ -94,9 +94,9 @@
 /** A node whose outside services are reached over HTTP. */
 internal fun httpNode(vertx: Vertx, settings: Settings): Node {
     // Each peer asks us and is asked by us.
-    val sockets = Sockets(settings.maxConnections, fixed = SERVICE_SOCKETS + 2 * settings.seeds.size)
+    val sockets = Sockets(settings.maxConnections, fixed = SERVICE_SOCKETS + 2 * settings.peers.size)
     val services = ServiceClients(
-        HttpStateService(vertx, settings.state, settings.stateLimits, settings.size),
+        HttpStateService(vertx, settings.state, settings.stateLimits, settings.initialSize),
         HttpCloudService(vertx, settings.cloud, settings.cloudLimits),
         HttpWorkerClient(vertx, sockets),
     )
--- a/src/main/kotlin/topazvale/config/Settings.kt
+++ b/src/main/kotlin/topazvale/config/Settings.kt
@@ -19,25 +19,25 @@
 }
 
 /** A controller of the cluster, and where its peers reach it. */
-data class Seed(val member: String, val zone: String, val mesh: Address)
+data class Peer(val member: String, val zone: String, val address: Address)
 
 /** How workers behave. */
 data class WorkerLimits(
-    val report: Duration,
+    val reportInterval: Duration,
     val lease: Duration,
-    val gangWait: Duration,
-    val gangPeer: Duration,
-    val cancel: Duration,
+    val gangStartTimeout: Duration,
+    val gangPeerTimeout: Duration,
+    val cancelLimit: Duration,
 )
 
 /** What the state service takes: requests and changes a second, bytes a value, changes a transaction. */
-data class StateLimits(val rps: Double, val writeRps: Double, val valueBytes: Int, val ops: Int) {
+data class StateLimits(val rps: Double, val writeRps: Double, val valueBytes: Int, val opsPerTransaction: Int) {
     /** What keeps within both. */
     fun within(other: StateLimits) = StateLimits(
         minOf(rps, other.rps),
         minOf(writeRps, other.writeRps),
         minOf(valueBytes, other.valueBytes),
-        minOf(ops, other.ops),
+        minOf(opsPerTransaction, other.opsPerTransaction),
     )
 }
 
@@ -50,10 +50,10 @@
     val zone: String,
     val bind: Address,
     val mesh: Address,
-    val seeds: List<Seed>,
+    val peers: List<Peer>,
     val cloud: Address,
     val state: Address,
-    val size: Int,
+    val initialSize: Int,
     val clockError: Duration,
     val teams: Map<String, Team>,
     /** By class. */
@@ -84,19 +84,19 @@
                 zone = top.text("area"),
                 bind = top.address("bind"),
                 mesh = top.address("mesh_addr"),
-                seeds = top.tables("seeds").map { Seed(it.text("member"), it.text("area"), it.address("address")) },
+                peers = top.tables("seeds").map { Peer(it.text("member"), it.text("area"), it.address("address")) },
                 cloud = top.subTable("outside").address("cloud"),
                 state = top.subTable("outside").address("state"),
-                size = deployment.positive("initial_size").toInt(),
+                initialSize = deployment.positive("initial_size").toInt(),
                 clockError = deployment.amount("clock_error_ms").milliseconds,
                 teams = deployment.tables("teams").map(::team).associateBy { it.name },
                 objectives = deployment.tables("objectives").mapNotNull(::objective).groupBy { it.queue },
                 workers = WorkerLimits(
-                    report = workers.positive("report_s").seconds,
+                    reportInterval = workers.positive("report_s").seconds,
                     lease = workers.positive("lease_s").seconds,
-                    gangWait = workers.positive("gang_wait_s").seconds,
-                    gangPeer = workers.positive("gang_peer_s").seconds,
-                    cancel = workers.positive("cancel_s").seconds,
+                    gangStartTimeout = workers.positive("gang_wait_s").seconds,
+                    gangPeerTimeout = workers.positive("gang_peer_s").seconds,
+                    cancelLimit = workers.positive("cancel_s").seconds,
                 ),
                 stateLimits = stateLimits(state),
                 maxConnections = deployment.subTable("resources").positive("max_connections").toInt(),
@@ -125,7 +125,9 @@
                     t.bad("value_kb", "at least 1")
                 }
             },
-            ops = t.positive("txn_ops").toInt().also { if (it < LEAST_OPS) t.bad("txn_ops", "at least $LEAST_OPS") },
+            opsPerTransaction = t.positive("txn_ops").toInt().also {
+                if (it < LEAST_OPS) t.bad("txn_ops", "at least $LEAST_OPS")
+            },
         )
 
         /** The end of a job takes a removal and a write, and one of what goes with it. */
--- a/src/main/kotlin/topazvale/config/Tuning.kt
+++ b/src/main/kotlin/topazvale/config/Tuning.kt
@@ -16,9 +16,9 @@
     /** What a bid adds to the price it follows, in dollars per hour. */
     val bidStep: Double = 0.001,
     /** How long a machine without work is kept. */
-    val keep: Duration = 15.seconds,
+    val idleTimeout: Duration = 15.seconds,
     /** How long a market that refused us is left alone. */
-    val refusedPause: Duration = 15.seconds,
+    val marketCooldown: Duration = 15.seconds,
     /** The leader's lease in the state service. */
     val leaderLease: Duration = 4.seconds,
 ) {
@@ -34,8 +34,8 @@
                 bootAllowance = span("boot_allowance_s", d.bootAllowance),
                 bidWindow = span("bid_window_s", d.bidWindow),
                 bidStep = t.amountOr("bid_step", d.bidStep),
-                keep = span("keep_s", d.keep),
-                refusedPause = span("refused_pause_s", d.refusedPause),
+                idleTimeout = span("keep_s", d.idleTimeout),
+                marketCooldown = span("refused_pause_s", d.marketCooldown),
                 leaderLease = span("leader_lease_s", d.leaderLease).also {
                     if (it < 1.seconds) throw SettingsException("invalid setting: leader_lease_s must be at least 1")
                 },
--- a/src/main/kotlin/topazvale/leader/Election.kt
+++ b/src/main/kotlin/topazvale/leader/Election.kt
@@ -22,9 +22,9 @@
 /** A leadership term. Its token is the revision at which the leader key was taken, so that tokens always rise. */
 class Term(val token: Long, val lease: Long, private val ttl: Duration, clocks: Clocks) {
     /** When the last renewal that succeeded was sent. */
-    var renewed: ComparableTimeMark = clocks.mark()
+    var lastRenewedAt: ComparableTimeMark = clocks.mark()
         private set
-    var over = false
+    var ended = false
         private set
 
     /**
@@ -32,16 +32,16 @@
      * above all, is done only while this holds: a leader cut off from the state service sees all workers move to
      * its successor, and must not take it for dead.
      */
-    val certain: Boolean get() = !over && renewed.elapsedNow() < ttl - MARGIN
+    val holdsLease: Boolean get() = !ended && lastRenewedAt.elapsedNow() < ttl - MARGIN
 
     /** A renewal that was sent then has succeeded. */
-    fun renewedAt(sent: ComparableTimeMark) {
-        if (sent > renewed) renewed = sent
+    fun recordRenewal(sentAt: ComparableTimeMark) {
+        if (sentAt > lastRenewedAt) lastRenewedAt = sentAt
     }
 
     /** Nothing more is done in this term; the election gives the key up. */
     fun end() {
-        over = true
+        ended = true
     }
 
     private companion object {
@@ -50,7 +50,7 @@
 }
 
 /** Who stands for election: the member's name, and what tells one life of its process from the next. */
-class Candidate(val member: String, val life: String)
+class Candidate(val member: String, val incarnation: String)
 
 /** Told of the terms of this process, on the event loop. */
 interface TermListener {
@@ -140,7 +140,7 @@
             is Outcome.Ok -> granted.value
             else -> return delay(RETRY)
         }
-        val record = LeaderRecord(candidate.member, candidate.life)
+        val record = LeaderRecord(candidate.member, candidate.incarnation)
         val commit = state.commit(
             listOf(Condition(Keys.LEADER, former?.version ?: 0)),
             listOf(Change.Put(Keys.LEADER, record.encode(), lease)),
@@ -160,17 +160,17 @@
         log.atInfo().addKeyValue("member", candidate.member).addKeyValue("token", token).addKeyValue("lease", lease)
             .addKeyValue("askedAgo", sent.elapsedNow()).log("term_began")
         leader = candidate.member
-        val won = Term(token, lease, ttl, clocks).also { it.renewedAt(sent) }
+        val won = Term(token, lease, ttl, clocks).also { it.recordRenewal(sent) }
         term = won
         highestToken = token
         listener.termBegan(won)
     }
 
     private suspend fun serve(current: Term) {
-        while (!current.over) {
+        while (!current.ended) {
             val sent = clocks.mark()
             when (state.renew(current.lease)) {
-                is Outcome.Ok -> current.renewedAt(sent)
+                is Outcome.Ok -> current.recordRenewal(sent)
 
                 is Outcome.Gone -> current.end()
 
@@ -179,10 +179,10 @@
                     continue
                 }
             }
-            if (!current.over) delay(ttl / RENEWALS)
+            if (!current.ended) delay(ttl / RENEWALS)
         }
         log.atInfo().addKeyValue("member", candidate.member).addKeyValue("token", current.token)
-            .addKeyValue("renewedAgo", current.renewed.elapsedNow()).log("term_ended")
+            .addKeyValue("renewedAgo", current.lastRenewedAt.elapsedNow()).log("term_ended")
         term = null
         leader = null
         listener.termEnded(current)
--- a/src/main/kotlin/topazvale/mesh/CancellationLog.kt
+++ b/src/main/kotlin/topazvale/mesh/CancellationLog.kt
@@ -23,16 +23,16 @@
     val ids: Set<String> get() = prune().let { entries.keys.toSet() }
 
     /** For how long [ids] has been complete. */
-    val covers: Duration get() = complete.elapsedNow().coerceAtMost(window)
+    val completeFor: Duration get() = complete.elapsedNow().coerceAtMost(window)
 
     /** A user has been told, or is about to be. */
-    fun told(id: String) = add(id, true)
+    fun confirmed(id: String) = add(id, true)
 
     /** The state service is being asked: from now on the cancellation may be carried out. */
-    fun asked(id: String) = add(id, entries[id]?.told ?: false)
+    fun requested(id: String) = add(id, entries[id]?.told ?: false)
 
     /** What was asked has certainly not been carried out. */
-    fun dropped(id: String) {
+    fun withdrawn(id: String) {
         if (entries[id]?.told == false) entries.remove(id)
     }
 
--- a/src/main/kotlin/topazvale/mesh/CancellationKnowledge.kt
+++ b/src/main/kotlin/topazvale/mesh/CancellationTracker.kt
@@ -9,7 +9,7 @@
  * What this controller knows of cancellations that any controller has told a user of. A leader that the state service
  * refuses depends on it: tasks of cancelled jobs have to be gone within [cancelLimit] all the same.
  */
-class CancellationKnowledge(cancelLimit: Duration, private val peers: Peers, clocks: Clocks) {
+class CancellationTracker(cancelLimit: Duration, private val peers: Peers, clocks: Clocks) {
     /** For how long a cancellation matters: its tasks must be gone by then. */
     private val window = cancelLimit + LATE_COMMIT_MARGIN
     private var known: ComparableTimeMark = clocks.mark()
@@ -22,7 +22,7 @@
      * status of a peer that is gone counts no longer than the peer itself would list it: what it asked for in vain must
      * not be stopped for ever.
      */
-    fun reported(): Set<String> {
+    fun reportedJobs(): Set<String> {
         val reported = HashSet(log.ids)
         for (received in peers.all) {
             if (received != null && received.came.elapsedNow() < window) reported += received.status.cancelledJobs
@@ -31,9 +31,9 @@
     }
 
     /** Up to when all cancellations are known, where [own] is up to when the state service has told of them. */
-    fun knownUpTo(own: ComparableTimeMark): ComparableTimeMark {
+    fun completeUntil(own: ComparableTimeMark): ComparableTimeMark {
         known = maxOf(known, own)
-        cancellationsKnownUpTo(peers.all, known)?.let { known = maxOf(known, it) }
+        cancellationsCompleteUntil(peers.all, known)?.let { known = maxOf(known, it) }
         return known
     }
 
--- a/src/main/kotlin/topazvale/mesh/PeerStatus.kt
+++ b/src/main/kotlin/topazvale/mesh/PeerStatus.kt
@@ -19,7 +19,7 @@
 data class PeerStatus(
     @ProtoNumber(1) val member: String,
     /** For how long the state service has not answered it; never more than the life of its process. */
-    @ProtoNumber(2) val stateSilenceMs: Long,
+    @ProtoNumber(2) val stateUnresponsiveMs: Long,
     /** The token it leads with, or 0. */
     @ProtoNumber(3) val token: Long,
     /**
@@ -33,13 +33,13 @@
     @ProtoNumber(6) val highestLedToken: Long = 0,
 ) {
     /** As it is sent. */
-    fun bytes(): ByteArray = ProtoBuf.encodeToByteArray(this)
+    fun encode(): ByteArray = ProtoBuf.encodeToByteArray(this)
 
     companion object {
         private val log = LoggerFactory.getLogger(PeerStatus::class.java)
 
         /** Null for what cannot be read: it proves nothing. */
-        fun read(bytes: ByteArray): PeerStatus? = try {
+        fun decode(bytes: ByteArray): PeerStatus? = try {
             ProtoBuf.decodeFromByteArray<PeerStatus>(bytes)
         } catch (e: IllegalArgumentException) {
             unreadable(e)
@@ -68,12 +68,12 @@
  * that it told. A peer that cannot be reached, or has started anew since, proves nothing. That none of them has led in
  * between has to be seen from [highestToken].
  */
-fun cancellationsKnownUpTo(peers: List<ReceivedStatus?>, since: ComparableTimeMark): ComparableTimeMark? {
+fun cancellationsCompleteUntil(peers: List<ReceivedStatus?>, since: ComparableTimeMark): ComparableTimeMark? {
     if (peers.isEmpty() || peers.any { it == null }) return null
     val heard = peers.filterNotNull()
     val all = heard.all {
         it.asked > since &&
-            maxOf(it.status.stateSilenceMs, it.status.cancellationsCompleteMs).milliseconds >= it.came - since
+            maxOf(it.status.stateUnresponsiveMs, it.status.cancellationsCompleteMs).milliseconds >= it.came - since
     }
     return if (all) heard.minOf { it.asked } else null
 }
@@ -85,5 +85,5 @@
 /** Whether peers that speak with us get no answers either, none of them. */
 fun allLackStateService(peers: List<ReceivedStatus?>, fresh: Duration, silence: Duration): Boolean {
     val speaking = peers.filter { it != null && it.came.elapsedNow() < fresh }
-    return speaking.isNotEmpty() && speaking.all { it!!.status.stateSilenceMs.milliseconds >= silence }
+    return speaking.isNotEmpty() && speaking.all { it!!.status.stateUnresponsiveMs.milliseconds >= silence }
 }
--- a/src/main/kotlin/topazvale/mesh/Peers.kt
+++ b/src/main/kotlin/topazvale/mesh/Peers.kt
@@ -1,7 +1,7 @@
 package topazvale.mesh
 
 import kotlinx.coroutines.delay
-import topazvale.config.Seed
+import topazvale.config.Peer
 import topazvale.model.Clocks
 import topazvale.supervision.SupervisedScope
 import kotlin.time.Duration.Companion.seconds
@@ -9,13 +9,13 @@
 /** Asks one of the other nodes for its word. */
 interface PeerClient {
     /** Null where no answer came. */
-    suspend fun status(of: Seed): ByteArray?
+    suspend fun fetchStatus(peer: Peer): ByteArray?
 }
 
 /** Asks the other nodes how they stand with the state service. */
 class Peers(
     private val scope: SupervisedScope,
-    private val others: List<Seed>,
+    private val others: List<Peer>,
     private val client: PeerClient,
     private val clocks: Clocks,
     /** Whether the state service answers us. The peers' words matter where it does not. */
@@ -30,12 +30,12 @@
 
     val all: List<ReceivedStatus?> get() = others.map { statuses[it.member] }
 
-    private suspend fun ask(seed: Seed) {
+    private suspend fun ask(seed: Peer) {
         while (true) {
             val asked = clocks.mark()
-            val answer = client.status(seed)
+            val answer = client.fetchStatus(seed)
             if (answer != null) {
-                val status = PeerStatus.read(answer)
+                val status = PeerStatus.decode(answer)
                 if (status == null) {
                     statuses.remove(seed.member)
                 } else {
--- a/src/main/kotlin/topazvale/model/Clocks.kt
+++ b/src/main/kotlin/topazvale/model/Clocks.kt
@@ -8,9 +8,9 @@
 /**
  * What tells the time: the steady clock for spans, the time of day for what outlives a process. Tests bring their own.
  */
-class Clocks(val steady: TimeSource.WithComparableMarks, private val wall: Clock) {
+class Clocks(val monotonic: TimeSource.WithComparableMarks, private val wall: Clock) {
     /** Now by the steady clock. */
-    fun mark(): ComparableTimeMark = steady.markNow()
+    fun mark(): ComparableTimeMark = monotonic.markNow()
 
     /** Now by the time of day. */
     fun now(): Instant = wall.now()
--- a/src/main/kotlin/topazvale/model/Jobs.kt
+++ b/src/main/kotlin/topazvale/model/Jobs.kt
@@ -26,21 +26,21 @@
     val image: String,
     val imageGb: Double,
     val estimate: Duration,
-    val checkpoint: Duration,
+    val checkpointInterval: Duration,
     val saveTime: Duration,
-    val due: Duration?,
+    val deadlineAfter: Duration?,
 ) {
     val isGang get() = shape == Shape.GANG
     val isService get() = shape == Shape.SERVICE
 
     /** A replica is not worth waiting for: it ends with what it could save, and serves again elsewhere. */
-    val checkpoints get() = checkpoint > Duration.ZERO && !isService
+    val checkpoints get() = checkpointInterval > Duration.ZERO && !isService
 
     /** How many of its tasks may be in one zone. */
     val zoneLimit get() = if (spread) (tasks + 1) / 2 else Int.MAX_VALUE
 
     /** All its tasks are meant to run at once. */
-    val wholly get() = isGang || isService
+    val runsAllTasksAtOnce get() = isGang || isService
 }
 
 /** Whether users may still expect work of a job; [DONE] and [CANCELLED] are for ever. */
@@ -48,7 +48,7 @@
 
 /** A job as the state service keeps it. */
 data class JobRecord(val spec: JobSpec, val submitted: Instant, val status: JobStatus) {
-    val deadline: Instant? get() = spec.due?.let { submitted + it }
+    val deadline: Instant? get() = spec.deadlineAfter?.let { submitted + it }
 }
 
 /** What a poll shows. */
@@ -69,7 +69,7 @@
  * What the users of a class expect: its jobs started or finished within a time, or done by a multiple of their
  * deadline.
  */
-data class Objective(val queue: String, val promise: ObjectiveKind, val within: Duration, val times: Double)
+data class Objective(val queue: String, val kind: ObjectiveKind, val within: Duration, val deadlineFactor: Double)
 
 /** A team with what it is guaranteed and may use at most; null: no limit. */
 data class Team(val name: String, val guaranteed: Resources, val limitCpus: Double?, val limitGpus: Double?)
--- a/src/main/kotlin/topazvale/model/Machines.kt
+++ b/src/main/kotlin/topazvale/model/Machines.kt
@@ -11,18 +11,19 @@
     operator fun times(n: Int) = Resources(cpus * n, gpus * n, memoryGb * n)
 
     /** Whether [o] has room for this. */
-    fun fitsIn(o: Resources) = cpus <= o.cpus + SLACK && gpus <= o.gpus + SLACK && memoryGb <= o.memoryGb + SLACK
+    fun fitsIn(o: Resources) = cpus <= o.cpus + ROUNDING_TOLERANCE && gpus <= o.gpus + ROUNDING_TOLERANCE &&
+        memoryGb <= o.memoryGb + ROUNDING_TOLERANCE
 
     /** How many of this fit into [o]. */
-    fun timesIn(o: Resources): Int {
+    fun countFittingIn(o: Resources): Int {
         fun share(need: Double, have: Double) =
-            if (need <= 0.0) Int.MAX_VALUE else ((have + SLACK) / need).toInt().coerceAtLeast(0)
+            if (need <= 0.0) Int.MAX_VALUE else ((have + ROUNDING_TOLERANCE) / need).toInt().coerceAtLeast(0)
         return minOf(share(cpus, o.cpus), share(gpus, o.gpus), share(memoryGb, o.memoryGb))
     }
 
     companion object {
         /** Amounts are decimals: sums may miss by rounding. */
-        private const val SLACK = 1e-6
+        private const val ROUNDING_TOLERANCE = 1e-6
         val NONE = Resources(0.0, 0.0, 0.0)
     }
 }
@@ -35,7 +36,7 @@
     val fetchGbPerS: Double,
     val price: Double,
     val spotPrice: Double,
-    val boot: Duration,
+    val bootTime: Duration,
     val zones: List<String>,
 ) {
     /** The current price of a spot or a steady machine. */
--- a/src/main/kotlin/topazvale/model/WorkerReports.kt
+++ b/src/main/kotlin/topazvale/model/WorkerReports.kt
@@ -19,7 +19,7 @@
     val session: Long,
     val sequence: Long,
     val token: Long,
-    val notice: Duration?,
+    val interruptionNotice: Duration?,
     val tasks: List<ReportedTask>,
 )
 
@@ -29,7 +29,7 @@
     data class Run(val start: Start) : Order
 
     /** Stop the task, with this much time to save. */
-    data class Stop(val start: Start, val grace: Duration) : Order
+    data class Stop(val start: Start, val gracePeriod: Duration) : Order
 
     /** Leave the exited task out of the reports. */
     data class Clear(val start: Start) : Order
--- a/src/main/kotlin/topazvale/reconcile/DirectCommands.kt
+++ b/src/main/kotlin/topazvale/reconcile/DirectCommands.kt
@@ -37,7 +37,7 @@
      */
     suspend fun propagateToken(formerLeaderWindow: Duration) {
         val until = context.clocks.mark() + formerLeaderWindow
-        delay(settings.workers.report)
+        delay(settings.workers.reportInterval)
         while (until.hasNotPassedNow()) {
             for (machine in cluster.machines.values.toList()) {
                 if (!heldByOthers(machine)) continue
@@ -81,7 +81,7 @@
     private fun reached(machine: ManagedMachine): Boolean {
         if (cluster.machines[machine.host] !== machine || !machine.responseDelivery.isConfirmed) return false
         val reported = machine.lastAnsweredReportAt ?: return false
-        return reported.elapsedNow() < settings.workers.report * MachineSnapshots.MAX_MISSED_REPORTS
+        return reported.elapsedNow() < settings.workers.reportInterval * MachineSnapshots.MAX_MISSED_REPORTS
     }
 
     private fun orders(machine: ManagedMachine): List<Order> = machine.placements.values.mapNotNull { placed ->
--- a/src/main/kotlin/topazvale/reconcile/Leadership.kt
+++ b/src/main/kotlin/topazvale/reconcile/Leadership.kt
@@ -31,7 +31,8 @@
     private val term = context.term
     private val clocks = context.clocks
     private val limits = settings.stateLimits
-    private val records = RecordWriter(context.services.state, Condition(Keys.LEADER, term.token), limits.ops)
+    private val records =
+        RecordWriter(context.services.state, Condition(Keys.LEADER, term.token), limits.opsPerTransaction)
     private val starts = StartLog(records, term.token, limits.valueBytes)
     private val cluster = ClusterState(records, starts, limits.valueBytes, clocks)
     private val runTimes = RunTimes()
@@ -51,7 +52,7 @@
     private val writeRequests = Channel<Unit>(Channel.CONFLATED)
 
     /** What can wait gets a fixed share of the changes per second. */
-    private val spareInterval = (limits.ops / (limits.writeRps * SPARE_SHARE)).seconds
+    private val spareInterval = (limits.opsPerTransaction / (limits.writeRps * SPARE_SHARE)).seconds
     private var spareAt: ComparableTimeMark = began
     private var checkedAt: ComparableTimeMark = began
     private var ready = false
@@ -111,13 +112,13 @@
      * Whether what users asked for is known well enough to start tasks. After an outage the lease may be certain before
      * the watch has told of cancellations that users learnt of before it.
      */
-    private fun knowsCancellations() = jobs.currentAsOf.elapsedNow() < settings.workers.cancel / KNOWN_WITHIN_PART
+    private fun knowsCancellations() = jobs.currentAsOf.elapsedNow() < settings.workers.cancelLimit / KNOWN_WITHIN_PART
 
     private suspend fun planLoop() {
         while (true) {
             context.awaitPlanRequest(PLAN_INTERVAL)
             if (!mayGoOn()) return term.end()
-            val took = clocks.steady.measureTime { planOrDeliver() }
+            val took = clocks.monotonic.measureTime { planOrDeliver() }
             if (!rest(restAfter(took))) return term.end()
         }
     }
@@ -153,7 +154,7 @@
     }
 
     private fun planOrDeliver() {
-        val mayStart = term.certain && knowsCancellations() && startsFrom.hasPassedNow()
+        val mayStart = term.holdsLease && knowsCancellations() && startsFrom.hasPassedNow()
         if (!mayStart) return directCommands.deliver()
         planning.plan(jobs.currentAsOf.elapsedNow())
         requestWrite()
--- a/src/main/kotlin/topazvale/reconcile/MachineInventory.kt
+++ b/src/main/kotlin/topazvale/reconcile/MachineInventory.kt
@@ -74,7 +74,7 @@
     }
 
     private fun neverCameUp(machine: ManagedMachine, type: MachineType, age: Duration) =
-        age > type.boot * MachineSnapshots.BOOT_TIMEOUT_FACTOR &&
+        age > type.bootTime * MachineSnapshots.BOOT_TIMEOUT_FACTOR &&
             machine.knownSince.elapsedNow() > lease * SILENT_LEASES
 
     private fun isUnlisted(machine: ManagedMachine, age: Duration): Boolean {
--- a/src/main/kotlin/topazvale/reconcile/MachineSnapshots.kt
+++ b/src/main/kotlin/topazvale/reconcile/MachineSnapshots.kt
@@ -29,7 +29,7 @@
         if (!present && !isBooting(machine, type, context)) return null
         // A report from before our term may be a late copy: of a machine that is gone, or a session that is over.
         val up = present && (machine.rentedInThisTerm || machine.token >= token)
-        val ready = machine.rentedAt + type.boot
+        val ready = machine.rentedAt + type.bootTime
         return MachineState(
             host = machine.host,
             market = machine.market,
@@ -52,13 +52,13 @@
 
     private fun isPresent(machine: ManagedMachine, context: SnapshotContext): Boolean {
         val reported = machine.lastAnsweredReportAt ?: return false
-        return context.mark - reported < settings.workers.report * MAX_MISSED_REPORTS &&
+        return context.mark - reported < settings.workers.reportInterval * MAX_MISSED_REPORTS &&
             machine.responseDelivery.isConfirmed
     }
 
     private fun isBooting(machine: ManagedMachine, type: MachineType, context: SnapshotContext): Boolean {
         if (machine.lastAnsweredReportAt != null) return false
-        val expected = context.now - machine.rentedAt < type.boot * BOOT_TIMEOUT_FACTOR
+        val expected = context.now - machine.rentedAt < type.bootTime * BOOT_TIMEOUT_FACTOR
         return expected || machine.knownSince.elapsedNow() < settings.workers.lease
     }
 
--- a/src/main/kotlin/topazvale/reconcile/PlanningLoop.kt
+++ b/src/main/kotlin/topazvale/reconcile/PlanningLoop.kt
@@ -33,7 +33,7 @@
     private val tuning = context.settings.tuning
     private val bids = WindowMinimumBid(tuning.bidWindow, tuning.bidStep)
     private val placement = Placement()
-    private val provisioner = Provisioner(UrgencySlack(tuning.alpha, tuning.bootAllowance), bids, tuning.keep)
+    private val provisioner = Provisioner(UrgencySlack(tuning.alpha, tuning.bootAllowance), bids, tuning.idleTimeout)
     private val snapshots = SnapshotBuilder(context.settings, cluster, token, runTimes, clocks)
     private var provisionedAt: ComparableTimeMark = clocks.mark()
     private var attempts = 0L
@@ -48,7 +48,7 @@
         val plan = placement.plan(snapshot)
         val placed = plan.assignments.flatMap(::assign)
         starts.record(placed)
-        if (placed.isNotEmpty()) decisions.startsPlanned(placed, term.renewed.elapsedNow(), watchAge)
+        if (placed.isNotEmpty()) decisions.startsPlanned(placed, term.lastRenewedAt.elapsedNow(), watchAge)
         plan.preempted.forEach(stopper::preempt)
         if (provisionNow) rent(snapshot, plan)
         returnIdle(snapshot, plan)
--- a/src/main/kotlin/topazvale/reconcile/ProvisioningLoop.kt
+++ b/src/main/kotlin/topazvale/reconcile/ProvisioningLoop.kt
@@ -56,7 +56,7 @@
             if (isDue(pricedAt, PRICE_INTERVAL)) updatePrices()
             if (isDue(listedAt, listInterval)) updateList()
             rentWanted()
-            if (term.certain) release()
+            if (term.holdsLease) release()
             withTimeoutOrNull(PAUSE) { workRequests.receive() }
         }
     }
@@ -84,7 +84,7 @@
         wanted = emptyList()
         for (rent in rents) {
             for (count in callSizes(rent.count)) {
-                if (term.certain && rent.market !in refused()) rent(rent.copy(count = count))
+                if (term.holdsLease && rent.market !in refused()) rent(rent.copy(count = count))
             }
         }
         renting = false
@@ -98,8 +98,8 @@
         // Names are never used twice: the token is this term's own.
         val booking = "r-${term.token}-${++bookings}"
         repeat(RENT_ATTEMPTS) {
-            if (!term.certain) return
-            val rental = cloud.rent(booking, rent.market, rent.count, term::certain)
+            if (!term.holdsLease) return
+            val rental = cloud.rent(booking, rent.market, rent.count, term::holdsLease)
             if (rental is Rental.Rented) rented(booking, rent, rental.hosts)
             if (rental is Rental.NoCapacity) refuse(rent.market)
             // Without an answer the same name is asked for again; machines rented all the same show up in the list.
@@ -109,20 +109,20 @@
     }
 
     private fun rented(booking: String, rent: RentalRequest, hosts: List<String>) {
-        decisions.rented(booking, rent.market, rent.count, hosts, term.renewed.elapsedNow())
+        decisions.rented(booking, rent.market, rent.count, hosts, term.lastRenewedAt.elapsedNow())
         cluster.addMachines(booking, rent.market, clocks.now(), hosts, rentedInThisTerm = true)
         if (hosts.size < rent.count) refuse(rent.market)
     }
 
     private fun refuse(market: Market) {
-        refusedUntil[market] = clocks.mark() + settings.tuning.refusedPause
+        refusedUntil[market] = clocks.mark() + settings.tuning.marketCooldown
     }
 
     private suspend fun release() {
         val returning = cluster.machines.values.filter { it.returning }
         val hosts = returning.map { it.host }
-        if (hosts.isEmpty() || !cloud.release(hosts, term::certain)) return
-        decisions.returned(hosts, term.renewed.elapsedNow())
+        if (hosts.isEmpty() || !cloud.release(hosts, term::holdsLease)) return
+        decisions.returned(hosts, term.lastRenewedAt.elapsedNow())
         returning.forEach(cluster::removeReturned)
         refusedUntil -= returning.map { it.market }.toSet()
         context.requestPlan()
--- a/src/main/kotlin/topazvale/reconcile/ReportProcessor.kt
+++ b/src/main/kotlin/topazvale/reconcile/ReportProcessor.kt
@@ -35,7 +35,7 @@
         if (answered) machine.responseDelivery.reported(report, token, report.session == machine.session, lease)
         val fresh = machine.lastAnsweredReportAt == null || report.session > machine.session
         takeHead(machine, report, answered, fresh)
-        var changed = fresh || report.notice != null
+        var changed = fresh || report.interruptionNotice != null
         for (task in report.tasks) changed = takeTask(machine, report, task) || changed
         // Under a lower token a former leader's command may still be on its way.
         if (report.token >= token && machine.placements.isNotEmpty()) changed = dropMissing(machine, report) || changed
@@ -84,7 +84,7 @@
         machine.lastReportAt = clocks.mark()
         if (answered || fresh) machine.lastAnsweredReportAt = machine.lastReportAt
         if (answered) machine.placements.values.forEach { it.acknowledgeResponsesBefore(report.sequence) }
-        machine.noticeEndsAt = report.notice?.let { clocks.mark() + it }
+        machine.noticeEndsAt = report.interruptionNotice?.let { clocks.mark() + it }
     }
 
     private fun endSessions(machine: ManagedMachine, session: Long) {
--- a/src/main/kotlin/topazvale/reconcile/TermHealth.kt
+++ b/src/main/kotlin/topazvale/reconcile/TermHealth.kt
@@ -47,7 +47,7 @@
      * Renewals succeed while the watch says nothing. During an outage renewals fail too, and nobody is served better.
      */
     private fun isUninformed(): Boolean {
-        if (!term.certain || knowsCancellations()) {
+        if (!term.holdsLease || knowsCancellations()) {
             uninformedSince = null
             return false
         }
--- a/src/main/kotlin/topazvale/scheduler/CapacityReservation.kt
+++ b/src/main/kotlin/topazvale/scheduler/CapacityReservation.kt
@@ -71,7 +71,7 @@
 
     /** What comes during a boot, and the largest service. */
     private fun wanted(): Int {
-        val boot = types.maxOfOrNull { it.boot } ?: Duration.ZERO
+        val boot = types.maxOfOrNull { it.bootTime } ?: Duration.ZERO
         return ceil(load.replicasPerSecond * boot.toDouble(DurationUnit.SECONDS) * SPARE).toInt() +
             load.largestReplicaCount
     }
@@ -90,7 +90,7 @@
         PlacementRules.allows(spec, candidate.machine) && candidate.machine.type.name in typeNames
 
     private fun keepOn(candidate: Candidate, most: Int): Int {
-        val tasks = minOf(most, candidate.starts, spec.need.timesIn(candidate.free))
+        val tasks = minOf(most, candidate.starts, spec.need.countFittingIn(candidate.free))
         if (tasks <= 0) return 0
         candidate.keep(spec, tasks)
         kept[candidate] = tasks
--- a/src/main/kotlin/topazvale/scheduler/FutureCapacity.kt
+++ b/src/main/kotlin/topazvale/scheduler/FutureCapacity.kt
@@ -46,7 +46,7 @@
  * leaves time, the estimate being trusted by half.
  */
 internal fun horizon(job: WaitingJob, type: MachineType, now: Instant): Duration {
-    val deadline = job.deadline ?: return type.boot
+    val deadline = job.deadline ?: return type.bootTime
     val fetch = (job.spec.imageGb / type.fetchGbPerS).seconds
-    return maxOf(type.boot, deadline - now - job.estimate * 2 - fetch)
+    return maxOf(type.bootTime, deadline - now - job.estimate * 2 - fetch)
 }
--- a/src/main/kotlin/topazvale/scheduler/GangHolds.kt
+++ b/src/main/kotlin/topazvale/scheduler/GangHolds.kt
@@ -43,11 +43,11 @@
         PlacementRules.usableTasks(job.spec, candidate, snapshot.cpusPerGpu)
 
     private fun reachable(job: WaitingJob, candidate: Candidate) =
-        minOf(candidate.starts, job.spec.need.timesIn(candidate.reach(job.spec)))
+        minOf(candidate.starts, job.spec.need.countFittingIn(candidate.reach(job.spec)))
 
     private fun soonFreeTasks(job: WaitingJob, zone: String): Int = snapshot.machines
         .filter { PlacementRules.allows(job.spec, it) && (zone == ANY_ZONE || it.market.zone == zone) }
-        .sumOf { job.spec.need.timesIn(soonFree(it)) }
+        .sumOf { job.spec.need.countFittingIn(soonFree(it)) }
 
     private fun soonFree(machine: MachineState): Resources {
         if (!machine.up) return machine.free
--- a/src/main/kotlin/topazvale/scheduler/JobOrder.kt
+++ b/src/main/kotlin/topazvale/scheduler/JobOrder.kt
@@ -69,10 +69,10 @@
             return objectives.count { o -> latestStart(job, o)?.let { it < s.now } == true }
         }
 
-        private fun latestStart(job: WaitingJob, o: Objective): Instant? = when (o.promise) {
+        private fun latestStart(job: WaitingJob, o: Objective): Instant? = when (o.kind) {
             ObjectiveKind.STARTED -> job.submitted + o.within
             ObjectiveKind.FINISHED -> job.submitted + o.within - job.estimate
-            ObjectiveKind.DEADLINE -> latest(job, o.times)
+            ObjectiveKind.DEADLINE -> latest(job, o.deadlineFactor)
         }
 
         /** Whether a job has to start about now to be in time; one without a deadline always has to. */
--- a/src/main/kotlin/topazvale/scheduler/PlacementRules.kt
+++ b/src/main/kotlin/topazvale/scheduler/PlacementRules.kt
@@ -25,7 +25,7 @@
 
     /** How many tasks of the job the candidate could take now. */
     fun usableTasks(spec: JobSpec, candidate: Candidate, cpusPerGpu: Double): Int =
-        minOf(candidate.starts, spec.need.timesIn(usableCapacity(spec, candidate.free, cpusPerGpu)))
+        minOf(candidate.starts, spec.need.countFittingIn(usableCapacity(spec, candidate.free, cpusPerGpu)))
 
     /**
      * Urgent work without GPUs takes what it needs of a machine with them, and so stands in the way of work that needs
--- a/src/main/kotlin/topazvale/scheduler/Preemption.kt
+++ b/src/main/kotlin/topazvale/scheduler/Preemption.kt
@@ -51,7 +51,7 @@
     }
 
     private fun reachable(job: WaitingJob, candidate: Candidate) =
-        minOf(job.spec.need.timesIn(candidate.reach(job.spec)), candidate.starts)
+        minOf(job.spec.need.countFittingIn(candidate.reach(job.spec)), candidate.starts)
 
     private fun clearing(job: WaitingJob, tasks: Int, candidate: Candidate): Clearing? {
         val need = job.spec.need
@@ -62,7 +62,7 @@
         val taken = ArrayList<CapacityRelease>()
         var free = candidate.eventual
         for (victim in stopping + running.sortedBy { it.lostWork }) {
-            if (need.timesIn(free) >= wanted) break
+            if (need.countFittingIn(free) >= wanted) break
             taken += victim
             free += victim.need
         }
--- a/src/main/kotlin/topazvale/scheduler/Provisioner.kt
+++ b/src/main/kotlin/topazvale/scheduler/Provisioner.kt
@@ -92,7 +92,7 @@
 
         private fun rent(market: Market, spec: JobSpec, wanted: Int): Int {
             val type = s.types.getValue(market.type)
-            val fits = minOf(wanted, spec.need.timesIn(type.capacity))
+            val fits = minOf(wanted, spec.need.countFittingIn(type.capacity))
             rents.merge(market, 1, Int::plus)
             rented++
             future += FutureCapacity(market, type, type.capacity - spec.need * fits)
@@ -105,7 +105,7 @@
         }
 
         private fun fits(job: WaitingJob, c: FutureCapacity) =
-            job.spec.need.timesIn(c.within(horizon(job, c.type, s.now)))
+            job.spec.need.countFittingIn(c.within(horizon(job, c.type, s.now)))
 
         private fun take(job: WaitingJob, wanted: Int, group: List<FutureCapacity>): Int {
             var left = wanted
@@ -124,7 +124,7 @@
          */
         private fun relieve(spec: JobSpec) {
             val room = future.firstOrNull {
-                it.type.capacity.gpus == 0.0 && spec.need.fitsIn(it.within(it.type.boot)) &&
+                it.type.capacity.gpus == 0.0 && spec.need.fitsIn(it.within(it.type.bootTime)) &&
                     PlacementRules.allows(spec, it.market.type, it.market.zone, it.market.spot)
             }
             if (room != null) return room.take(spec.need)
@@ -164,7 +164,7 @@
 
     private fun perTask(s: Snapshot, spec: JobSpec, market: Market, tasks: Int): Double {
         val type = s.types.getValue(market.type)
-        return type.price(market.spot) / minOf(tasks, spec.need.timesIn(type.capacity))
+        return type.price(market.spot) / minOf(tasks, spec.need.countFittingIn(type.capacity))
     }
 
     private fun markets(s: Snapshot, spec: JobSpec): List<Market> = s.types.values
--- a/src/main/kotlin/topazvale/scheduler/TeamQuota.kt
+++ b/src/main/kotlin/topazvale/scheduler/TeamQuota.kt
@@ -9,7 +9,7 @@
     private val left = snapshot.teams.mapValues { (name, team) -> unused(name, team) }.toMutableMap()
 
     /** How many tasks of the job its team may still start. */
-    fun tasks(spec: JobSpec): Int = left[spec.team]?.let(spec.need::timesIn) ?: 0
+    fun tasks(spec: JobSpec): Int = left[spec.team]?.let(spec.need::countFittingIn) ?: 0
 
     /** Counts tasks of the job against its team. */
     fun take(spec: JobSpec, tasks: Int) {
--- a/src/main/kotlin/topazvale/supervision/SupervisedScope.kt
+++ b/src/main/kotlin/topazvale/supervision/SupervisedScope.kt
@@ -20,7 +20,7 @@
  */
 class SupervisedScope(context: CoroutineContext, private val fatalFailures: FatalFailureHandler) {
     private val log = LoggerFactory.getLogger(SupervisedScope::class.java)
-    private val uncaught = CoroutineExceptionHandler { _, cause -> failed("uncaught", cause) }
+    private val uncaught = CoroutineExceptionHandler { _, cause -> reportFailure("uncaught", cause) }
 
     /** For what is launched beside any loop: what it throws is logged and counted too. */
     val scope = CoroutineScope(context + SupervisorJob(context[Job]) + uncaught)
@@ -45,7 +45,7 @@
     }
 
     /** Something failed; not to be called for cancellations. */
-    fun failed(name: String, cause: Throwable) {
+    fun reportFailure(name: String, cause: Throwable) {
         if (cause.isFatal) fatalFailures.fatal(cause)
         Metrics.counter(METRIC, "loop", name).increment()
         log.atError().setCause(cause).addKeyValue("loop", name).log("loop_failed")
@@ -61,7 +61,7 @@
     ) {
         // Where the scope has ended, the loop ends with it. A cancellation of something else within is a failure.
         currentCoroutineContext().ensureActive()
-        failed(name, e)
+        reportFailure(name, e)
         false
     }
 
--- a/src/main/kotlin/topazvale/wire/CloudWire.kt
+++ b/src/main/kotlin/topazvale/wire/CloudWire.kt
@@ -26,7 +26,7 @@
             fetchGbPerS = f.amount("fetchGbPerS"),
             price = f.amount("hourly"),
             spotPrice = f.amount("marketPrice"),
-            boot = f.span("readyS"),
+            bootTime = f.span("readyS"),
             zones = f.textsOrNull("halls").orEmpty(),
         )
     }
--- a/src/main/kotlin/topazvale/wire/JobWire.kt
+++ b/src/main/kotlin/topazvale/wire/JobWire.kt
@@ -54,9 +54,9 @@
             image = f.text("bundle"),
             imageGb = f.amount("sizeGb"),
             estimate = f.span("expectS"),
-            checkpoint = f.span("snapshotS"),
+            checkpointInterval = f.span("snapshotS"),
             saveTime = f.span("flushS"),
-            due = f.spanOrNull("dueS"),
+            deadlineAfter = f.spanOrNull("dueS"),
         )
         if (!isId(spec.id)) invalid("uid")
         return spec
@@ -83,9 +83,9 @@
         put("bundle", s.image)
         put("sizeGb", s.imageGb)
         put("expectS", s.estimate.toDouble(DurationUnit.SECONDS))
-        put("snapshotS", s.checkpoint.toDouble(DurationUnit.SECONDS))
+        put("snapshotS", s.checkpointInterval.toDouble(DurationUnit.SECONDS))
         put("flushS", s.saveTime.toDouble(DurationUnit.SECONDS))
-        s.due?.let { put("dueS", it.toDouble(DurationUnit.SECONDS)) }
+        s.deadlineAfter?.let { put("dueS", it.toDouble(DurationUnit.SECONDS)) }
     }
 
     /** The answer to a poll. */
--- a/src/main/kotlin/topazvale/wire/WorkerWire.kt
+++ b/src/main/kotlin/topazvale/wire/WorkerWire.kt
@@ -42,7 +42,7 @@
             session = f.count("shift"),
             sequence = f.count("tick"),
             token = f.countOr("epoch", 0),
-            notice = f.spanOrNull("warningS"),
+            interruptionNotice = f.spanOrNull("warningS"),
             tasks = f.maps("steps").map(::task),
         )
     }
@@ -74,7 +74,7 @@
 
     private fun order(o: Order): Map<String, Any?> = when (o) {
         is Order.Run -> step("run", o.start)
-        is Order.Stop -> step("stop", o.start) + ("drainS" to o.grace.toDouble(DurationUnit.SECONDS))
+        is Order.Stop -> step("stop", o.start) + ("drainS" to o.gracePeriod.toDouble(DurationUnit.SECONDS))
         is Order.Clear -> step("clear", o.start)
     }
 
--- a/src/test/kotlin/topazvale/ClusterTest.kt
+++ b/src/test/kotlin/topazvale/ClusterTest.kt
@@ -53,8 +53,8 @@
             member = name,
             bind = Address("127.0.0.1", 0),
             mesh = Address("127.0.0.1", 0),
-            seeds = emptyList(),
-            workers = WorkerLimits(500.milliseconds, lease = LEASE, 5.seconds, 2.seconds, cancel = 12.seconds),
+            peers = emptyList(),
+            workers = WorkerLimits(500.milliseconds, lease = LEASE, 5.seconds, 2.seconds, cancelLimit = 12.seconds),
         )
         val vertx = smallVertx()
         val state = FakeStateService(store)
--- a/src/test/kotlin/topazvale/Samples.kt
+++ b/src/test/kotlin/topazvale/Samples.kt
@@ -41,9 +41,9 @@
         image = "img",
         imageGb = 1.0,
         estimate = 20.seconds,
-        checkpoint = 10.seconds,
+        checkpointInterval = 10.seconds,
         saveTime = 2.seconds,
-        due = null,
+        deadlineAfter = null,
     )
     val gang = array.copy(
         id = "job-2",
@@ -62,7 +62,7 @@
         tasks = 3,
         need = Resources(2.0, 0.0, 6.0),
         estimate = Duration.ZERO,
-        checkpoint = Duration.ZERO,
+        checkpointInterval = Duration.ZERO,
         saveTime = Duration.ZERO,
         spread = true,
         spotAllowed = false,
--- a/src/test/kotlin/topazvale/UnreadableRecordsTest.kt
+++ b/src/test/kotlin/topazvale/UnreadableRecordsTest.kt
@@ -23,7 +23,7 @@
         world.submit(array)
         val settings = world.settings.workers
         // A former leader may have answered reports for its grace, and a lease lasts on from the last answer.
-        delay(settings.cancel - 8.seconds)
+        delay(settings.cancelLimit - 8.seconds)
         assertEquals(0, world.starts)
         world.untilDone(array.id)
         assertEquals(emptyList<String>(), world.broken)
--- a/src/test/kotlin/topazvale/api/SubmissionApiTest.kt
+++ b/src/test/kotlin/topazvale/api/SubmissionApiTest.kt
@@ -29,7 +29,7 @@
 
     private fun submit(body: Map<String, Any?>) = runBlocking { users.submit(Cbor.encode(body)) }
 
-    private fun status(answer: Answer) = Cbor.decodeMap(answer.body)["status"]
+    private fun status(answer: ApiResponse) = Cbor.decodeMap(answer.body)["status"]
 
     @Test
     fun `what can never run is refused`() {
--- a/src/test/kotlin/topazvale/config/SettingsTest.kt
+++ b/src/test/kotlin/topazvale/config/SettingsTest.kt
@@ -13,7 +13,7 @@
     fun `settings are read and unknown fields ignored`() {
         val s = Settings.parse(TEXT + "\n[deployment.later]\nx = 1\n")
         assertEquals("node-0", s.member)
-        assertEquals(Address("10.0.0.2", 8081), s.seeds.single().mesh)
+        assertEquals(Address("10.0.0.2", 8081), s.peers.single().address)
         assertEquals(8.0, s.teams.getValue("red").limitGpus)
         assertEquals(null, s.teams.getValue("red").limitCpus, "0 means none")
         assertEquals(14.seconds, s.workers.lease)
@@ -52,10 +52,11 @@
 
     @Test
     fun `the smaller of the present and the next limits holds from the start`() {
-        val now = StateLimits(rps = 200.0, writeRps = 50.0, valueBytes = 8192, ops = 24)
+        val now = StateLimits(rps = 200.0, writeRps = 50.0, valueBytes = 8192, opsPerTransaction = 24)
         assertEquals(now, Settings.parse(TEXT).stateLimits)
         val cases = listOf(
-            "write_rps = 35.0\nvalue_kb = 2.0\ntxn_ops = 8" to now.copy(writeRps = 35.0, valueBytes = 2048, ops = 8),
+            "write_rps = 35.0\nvalue_kb = 2.0\ntxn_ops = 8" to
+                now.copy(writeRps = 35.0, valueBytes = 2048, opsPerTransaction = 8),
             "write_rps = 90.0\nvalue_kb = 2.0\ntxn_ops = 30" to now.copy(valueBytes = 2048),
             "rps = 100.0\nwrite_rps = 90.0\nvalue_kb = 16\ntxn_ops = 24" to now.copy(rps = 100.0),
         )
@@ -76,7 +77,7 @@
     @Test
     fun `operators' settings have defaults`() {
         assertEquals(Tuning(), Tuning.parse(""))
-        assertEquals(Tuning(alpha = 2.0, keep = 20.seconds), Tuning.parse("alpha = 2\nkeep_s = 20"))
+        assertEquals(Tuning(alpha = 2.0, idleTimeout = 20.seconds), Tuning.parse("alpha = 2\nkeep_s = 20"))
         assertThrows(SettingsException::class.java) { Tuning.parse("leader_lease_s = 0.1") }
     }
 
--- a/src/test/kotlin/topazvale/emulator/RuleObserver.kt
+++ b/src/test/kotlin/topazvale/emulator/RuleObserver.kt
@@ -1,6 +1,6 @@
 package topazvale.emulator
 
-import topazvale.api.Answer
+import topazvale.api.ApiResponse
 import topazvale.config.Settings
 import topazvale.model.Clocks
 import topazvale.model.JobSpec
@@ -24,7 +24,7 @@
     private class Told(val status: String, val since: ComparableTimeMark)
 
     private val began = clocks.mark()
-    private val cancelLimit = settings.workers.cancel
+    private val cancelLimit = settings.workers.cancelLimit
 
     /** For how long after its job was told to be done a task may still begin: a command may have been on its way. */
     var commandLimit: Duration = cancelLimit
@@ -117,7 +117,7 @@
      * A user got an answer about a job that was accepted before, to a request sent at [asked]; the status it tells, if
      * any. An answer may be older than another that came first, if it was asked for before that.
      */
-    fun told(id: String, answer: Answer, asked: ComparableTimeMark): String? {
+    fun told(id: String, answer: ApiResponse, asked: ComparableTimeMark): String? {
         val status = if (answer.status in ACCEPTED) Cbor.decodeMap(answer.body)["status"] as String else null
         val known = told[id]
         val before = known?.status
--- a/src/test/kotlin/topazvale/emulator/RuleObserverTest.kt
+++ b/src/test/kotlin/topazvale/emulator/RuleObserverTest.kt
@@ -3,7 +3,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 import topazvale.Samples
-import topazvale.api.Answer
+import topazvale.api.ApiResponse
 import topazvale.config.Settings
 import topazvale.config.SettingsTest
 import topazvale.model.Clocks
@@ -27,7 +27,7 @@
         started(host, market, "${spec.id}/$index", spec)
 
     private fun tell(status: String, code: Int = 200, asked: kotlin.time.ComparableTimeMark = clocks.mark()) =
-        observer.told("job-1", Answer.of(code, mapOf("uid" to "job-1", "status" to status)), asked)
+        observer.told("job-1", ApiResponse.of(code, mapOf("uid" to "job-1", "status" to status)), asked)
 
     @Test
     fun `each planted violation is found, and what is allowed is not`() {
--- a/src/test/kotlin/topazvale/emulator/UserEmulator.kt
+++ b/src/test/kotlin/topazvale/emulator/UserEmulator.kt
@@ -1,7 +1,7 @@
 package topazvale.emulator
 
 import kotlinx.coroutines.delay
-import topazvale.api.Answer
+import topazvale.api.ApiResponse
 import topazvale.model.Clocks
 import topazvale.model.JobSpec
 import topazvale.net.HttpStatus
@@ -51,7 +51,11 @@
         }
     }
 
-    private suspend fun ask(id: String, of: ControllerPort, question: suspend ControllerPort.() -> Answer?): String? {
+    private suspend fun ask(
+        id: String,
+        of: ControllerPort,
+        question: suspend ControllerPort.() -> ApiResponse?,
+    ): String? {
         val asked = clocks.mark()
         val answer = of.question()
         return if (answer == null ||
--- a/src/test/kotlin/topazvale/emulator/WorkerEmulator.kt
+++ b/src/test/kotlin/topazvale/emulator/WorkerEmulator.kt
@@ -5,7 +5,7 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.withTimeoutOrNull
-import topazvale.api.Answer
+import topazvale.api.ApiResponse
 import topazvale.model.JobSpec
 import topazvale.model.Market
 import topazvale.model.Order
@@ -47,7 +47,7 @@
     private val clocks = world.clocks
     private val observer = world.observer
     private val lease = world.limits.lease / clockRate
-    private val reportInterval = world.limits.report / clockRate
+    private val reportInterval = world.limits.reportInterval / clockRate
     private val answerLimit = ANSWER_LIMIT / clockRate
 
     /** When its machine was rented. */
@@ -257,7 +257,7 @@
     }
 
     /** The report goes on its way even when the worker waits for its answer no more. */
-    private suspend fun exchange(controller: ControllerPort, body: ByteArray): Answer? {
+    private suspend fun exchange(controller: ControllerPort, body: ByteArray): ApiResponse? {
         val answer = scope.async {
             delay(faults.reportDelay())
             controller.report(body).also { delay(faults.answerDelay()) }
@@ -287,7 +287,7 @@
         return true
     }
 
-    private suspend fun take(answer: Answer, sent: ComparableTimeMark) {
+    private suspend fun take(answer: ApiResponse, sent: ComparableTimeMark) {
         val map = Cbor.decodeMap(answer.body)
         when (answer.status) {
             HttpStatus.OK -> {
--- a/src/test/kotlin/topazvale/fake/FakeCluster.kt
+++ b/src/test/kotlin/topazvale/fake/FakeCluster.kt
@@ -4,13 +4,13 @@
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.test.TestScope
 import topazvale.Controller
-import topazvale.Runtime
+import topazvale.ControllerRuntime
 import topazvale.Samples
-import topazvale.api.Answer
+import topazvale.api.ApiResponse
 import topazvale.cloud.CloudService
 import topazvale.cloud.Rental
 import topazvale.config.Address
-import topazvale.config.Seed
+import topazvale.config.Peer
 import topazvale.config.Settings
 import topazvale.config.SettingsTest
 import topazvale.emulator.ControllerPort
@@ -59,7 +59,10 @@
     private val scope = test.backgroundScope
     val store = FakeStateStore(clocks)
     val settings = Settings.parse(settingsText).let { s ->
-        s.copy(seeds = members.mapIndexed { i, m -> Seed(m, "a", Address("127.0.0.1", 9000 + i)) }, size = members.size)
+        s.copy(
+            peers = members.mapIndexed { i, m -> Peer(m, "a", Address("127.0.0.1", 9000 + i)) },
+            initialSize = members.size,
+        )
     }
 
     /** Judges the rules by what workers run and users are told. */
@@ -89,7 +92,7 @@
         var cutFromPeers = false
         var cutFromWorkers = false
         private val runtime =
-            Runtime(
+            ControllerRuntime(
                 own,
                 Sockets(1800, fixed = 0),
                 ownClocks(),
@@ -148,16 +151,16 @@
         }
 
         private fun peers() = object : PeerClient {
-            override suspend fun status(of: Seed): ByteArray? {
+            override suspend fun fetchStatus(peer: Peer): ByteArray? {
                 failIfAsked("peer")
-                val other = nodes[of.member]
+                val other = nodes[peer.member]
                 if (cutFromPeers || other == null || other.cutFromPeers) return null.also { delay(1.seconds) }
                 delay(2.milliseconds)
-                return other.controller.peerStatus().bytes()
+                return other.controller.peerStatus().encode()
             }
         }
 
-        override suspend fun report(body: ByteArray): Answer? {
+        override suspend fun report(body: ByteArray): ApiResponse? {
             if (cutFromWorkers || nodes[name] !== this) return null
             return controller.reports.report(WorkerWire.report(body))
         }
--- a/src/test/kotlin/topazvale/mesh/PeersTest.kt
+++ b/src/test/kotlin/topazvale/mesh/PeersTest.kt
@@ -31,7 +31,7 @@
             Triple("no peers", emptyList(), null),
         )
         for ((name, peers, expected) in cases) {
-            assertEquals(expected, cancellationsKnownUpTo(peers, began + 5.seconds)?.let { it - began }, name)
+            assertEquals(expected, cancellationsCompleteUntil(peers, began + 5.seconds)?.let { it - began }, name)
         }
     }
 
@@ -48,21 +48,21 @@
     fun `a list of cancellations is complete for as long as it says`() {
         val list = CancellationLog(20.seconds, Clocks(time, Clock.System), most = 3)
         time += 5.seconds
-        list.asked("job-1")
-        list.told("job-2")
-        list.asked("job-2")
-        list.dropped("job-2")
+        list.requested("job-1")
+        list.confirmed("job-2")
+        list.requested("job-2")
+        list.withdrawn("job-2")
         assertEquals(setOf("job-1", "job-2"), list.ids, "what was told stays told")
-        list.dropped("job-1")
+        list.withdrawn("job-1")
         assertEquals(setOf("job-2"), list.ids)
-        assertEquals(5.seconds, list.covers, "not longer than its process lives")
+        assertEquals(5.seconds, list.completeFor, "not longer than its process lives")
         time += 5.seconds
-        for (i in 3..5) list.told("job-$i")
+        for (i in 3..5) list.confirmed("job-$i")
         assertEquals(setOf("job-3", "job-4", "job-5"), list.ids)
-        assertTrue(list.covers <= 5.seconds, "cut off, it does not vouch for the time of what is left out")
+        assertTrue(list.completeFor <= 5.seconds, "cut off, it does not vouch for the time of what is left out")
         time += 30.seconds
         assertTrue(list.ids.isEmpty())
-        assertEquals(20.seconds, list.covers)
+        assertEquals(20.seconds, list.completeFor)
     }
 
     @Test
@@ -76,14 +76,14 @@
                 cancelledJobs = listOf("job-1"),
                 highestLedToken = 7,
             )
-        assertEquals(status, PeerStatus.read(status.bytes()))
+        assertEquals(status, PeerStatus.decode(status.encode()))
         // As the version before wrote it: member, silentMs and token alone.
         val older = byteArrayOf(0x0A, 1, 'p'.code.toByte(), 0x10, 0xA0.toByte(), 0x1F, 0x18, 7)
-        assertEquals(PeerStatus("p", 4000, 7), PeerStatus.read(older))
-        val later = status.bytes() + byteArrayOf(0x78, 1)
-        assertEquals(status, PeerStatus.read(later), "fields of a later version are passed over")
+        assertEquals(PeerStatus("p", 4000, 7), PeerStatus.decode(older))
+        val later = status.encode() + byteArrayOf(0x78, 1)
+        assertEquals(status, PeerStatus.decode(later), "fields of a later version are passed over")
         assertFalse(PeerStatus("p", 4000, 7).cancellationsCompleteMs > 0)
-        for (length in 1 until status.bytes().size) PeerStatus.read(status.bytes().copyOf(length))
-        assertEquals(null, PeerStatus.read(byteArrayOf(-1, -1, -1, 3)))
+        for (length in 1 until status.encode().size) PeerStatus.decode(status.encode().copyOf(length))
+        assertEquals(null, PeerStatus.decode(byteArrayOf(-1, -1, -1, 3)))
     }
 }
--- a/src/test/kotlin/topazvale/reconcile/DirectCommandsTest.kt
+++ b/src/test/kotlin/topazvale/reconcile/DirectCommandsTest.kt
@@ -56,7 +56,7 @@
         val starts = StartLog(records, 7, 8192)
         val cluster = ClusterState(records, starts, 8192, Clocks.SYSTEM)
         val settings = Settings.parse(SettingsTest.TEXT).let {
-            it.copy(workers = it.workers.copy(report = 50.milliseconds))
+            it.copy(workers = it.workers.copy(reportInterval = 50.milliseconds))
         }
         val reports = ReportProcessor(cluster, records, 7, 14.seconds, RunTimes(), Clocks.SYSTEM)
         cluster.addMachines("r-1", market, Samples.now, listOf("n-old"), rentedInThisTerm = false)
--- a/src/test/kotlin/topazvale/soak/HttpControllerPort.kt
+++ b/src/test/kotlin/topazvale/soak/HttpControllerPort.kt
@@ -1,7 +1,7 @@
 package topazvale.soak
 
 import io.vertx.core.http.HttpMethod
-import topazvale.api.Answer
+import topazvale.api.ApiResponse
 import topazvale.config.Address
 import topazvale.emulator.ControllerPort
 import topazvale.net.Call
@@ -18,8 +18,8 @@
 
     override suspend fun cancel(id: String) = call(HttpMethod.POST, "/submissions/$id/abort", null)
 
-    private suspend fun call(method: HttpMethod, path: String, body: ByteArray?): Answer? =
-        http.call(address, Call(method, path, body, LIMIT))?.let { Answer(it.status, it.body) }
+    private suspend fun call(method: HttpMethod, path: String, body: ByteArray?): ApiResponse? =
+        http.call(address, Call(method, path, body, LIMIT))?.let { ApiResponse(it.status, it.body) }
 
     private companion object {
         val LIMIT = 5.seconds
--- a/src/test/kotlin/topazvale/store/ProductionFormsTest.kt
+++ b/src/test/kotlin/topazvale/store/ProductionFormsTest.kt
@@ -22,7 +22,7 @@
         need = Samples.gang.need.copy(cpus = 15.0, memoryGb = 50.0),
         types = listOf("plain", "gpu"),
         zone = "a",
-        due = 90.seconds,
+        deadlineAfter = 90.seconds,
     )
     private val starts = listOf(
         StartRow("n-1", 3, "job-1", 1L shl 40, listOf(0, 2)),
@@ -92,17 +92,17 @@
     fun `the message between controllers has the fields and numbers that production knows`() {
         val status = PeerStatus(
             member = "node-1",
-            stateSilenceMs = 4000,
+            stateUnresponsiveMs = 4000,
             token = 1L shl 33,
             cancellationsCompleteMs = 9000,
             cancelledJobs = listOf("job-1", "job-2"),
             highestLedToken = (1L shl 33) + 5,
         )
         val sent = ProductionForms.bytes("peer-status")
-        assertEquals(ProductionForms.hex(sent), ProductionForms.hex(status.bytes()))
-        assertEquals(status, PeerStatus.read(sent))
+        assertEquals(ProductionForms.hex(sent), ProductionForms.hex(status.encode()))
+        assertEquals(status, PeerStatus.decode(sent))
         val older = ProductionForms.bytes("peer-status-without-cancellations")
-        assertEquals(PeerStatus("node-1", 4000, 7), PeerStatus.read(older))
+        assertEquals(PeerStatus("node-1", 4000, 7), PeerStatus.decode(older))
     }
 
     @Test
--- a/src/test/kotlin/topazvale/wire/WireTest.kt
+++ b/src/test/kotlin/topazvale/wire/WireTest.kt
@@ -18,7 +18,7 @@
         for (spec in listOf(
             Samples.array,
             Samples.gang,
-            Samples.array.copy(types = listOf("gpu"), zone = "a", due = 30.seconds),
+            Samples.array.copy(types = listOf("gpu"), zone = "a", deadlineAfter = 30.seconds),
         )) {
             assertEquals(spec, JobWire.submission(Cbor.encode(JobWire.map(spec))))
         }
