--- a/src/main/kotlin/topazvale/Controller.kt
+++ b/src/main/kotlin/topazvale/Controller.kt
@@ -47,7 +47,7 @@
     private val started = clocks.mark()
     private val peers =
         Peers(scope, settings.peers.filter { it.member != settings.member }, peerClient, clocks) {
-            state.silence < TOUCH_INTERVAL * 2
+            state.timeSinceLastResponse < TOUCH_INTERVAL * 2
         }
     private val cancellations = CancellationTracker(settings.workers.cancelLimit, peers, clocks)
     private val life = runtime.random.nextLong().toULong().toString(HEXADECIMAL)
@@ -109,7 +109,7 @@
         val cancelledJobs = cancellations.log.ids.toList()
         return PeerStatus(
             settings.member,
-            stateUnresponsiveMs = minOf(state.silence, life).inWholeMilliseconds,
+            stateUnresponsiveMs = minOf(state.timeSinceLastResponse, life).inWholeMilliseconds,
             token = election.term?.token ?: 0,
             cancellationsCompleteMs = cancellations.log.completeFor.inWholeMilliseconds,
             cancelledJobs = cancelledJobs,
@@ -122,7 +122,7 @@
      * controller that hears no peer it cannot be told.
      */
     fun healthy(): Boolean {
-        if (state.silence < UNHEALTHY_SILENCE) return true
+        if (state.timeSinceLastResponse < UNHEALTHY_SILENCE) return true
         return allLackStateService(peers.all, fresh = UNHEALTHY_SILENCE, silence = UNHEALTHY_SILENCE)
     }
 
@@ -158,7 +158,7 @@
 
     private suspend fun learnTypes() {
         while (true) {
-            services.cloud.types()?.let { types = it }
+            services.cloud.listMachineTypes()?.let { types = it }
             delay(if (types == null) TYPES_RETRY else TYPES_INTERVAL)
         }
     }
@@ -167,7 +167,7 @@
     private suspend fun keepInTouch() {
         while (true) {
             delay(TOUCH_INTERVAL)
-            if (state.silence > TOUCH_INTERVAL) state.get(Keys.LEADER)
+            if (state.timeSinceLastResponse > TOUCH_INTERVAL) state.get(Keys.LEADER)
         }
     }
 
--- a/src/main/kotlin/topazvale/api/ReportApi.kt
+++ b/src/main/kotlin/topazvale/api/ReportApi.kt
@@ -31,10 +31,12 @@
             // It has seen a later leader: an answer of ours would be dropped while its lease runs out.
             report.token > now.token -> elsewhere(null)
 
-            else -> now.respond(report)?.let { ApiResponse(HttpStatus.OK, WorkerWire.answer(now.token, it)) }
+            else -> now.respond(report)?.let {
+                ApiResponse(HttpStatus.OK, WorkerWire.encodeReportResponse(now.token, it))
+            }
                 ?: ApiResponse.retryLater("not ready")
         }
     }
 
-    private fun elsewhere(leader: String?) = ApiResponse(HttpStatus.MISDIRECTED, WorkerWire.elsewhere(leader))
+    private fun elsewhere(leader: String?) = ApiResponse(HttpStatus.MISDIRECTED, WorkerWire.encodeRedirect(leader))
 }
--- a/src/main/kotlin/topazvale/api/Server.kt
+++ b/src/main/kotlin/topazvale/api/Server.kt
@@ -39,7 +39,7 @@
     suspend fun listen(at: Address): Int {
         val options = HttpServerOptions().setIdleTimeout(idleTimeout.inWholeSeconds.toInt())
         return vertx.createHttpServer(options)
-            .connectionHandler(sockets::count)
+            .connectionHandler(sockets::track)
             .requestHandler(::handle)
             .listen(at.port, at.host).coAwait().actualPort()
     }
@@ -50,7 +50,7 @@
         scope.scope.launch(start = CoroutineStart.UNDISPATCHED) {
             val answer = answer(request)
             val kind = kind(request.path().orEmpty())
-            request.response().send(answer, close = answer.close || (kind == USERS && sockets.scarce))
+            request.response().send(answer, close = answer.close || (kind == USERS && sockets.isScarce))
             metrics.answered(kind, answer.status, began.elapsedNow())
         }
     }
@@ -102,7 +102,7 @@
     private fun metrics() = ApiResponse(HttpStatus.OK, metrics.text().toByteArray(), type = "text/plain")
 
     private fun report(body: ByteArray): ApiResponse = try {
-        handlers.reports.report(WorkerWire.report(body))
+        handlers.reports.report(WorkerWire.decodeReport(body))
     } catch (e: MalformedException) {
         ApiResponse.error(HttpStatus.BAD_REQUEST, e.message.orEmpty())
     }
--- a/src/main/kotlin/topazvale/api/SubmissionApi.kt
+++ b/src/main/kotlin/topazvale/api/SubmissionApi.kt
@@ -42,7 +42,7 @@
     /** `POST /submissions`. */
     suspend fun submit(body: ByteArray): ApiResponse {
         val spec = try {
-            JobWire.submission(body)
+            JobWire.decodeSubmission(body)
         } catch (e: MalformedException) {
             log.info("submission refused: {}", e.message)
             return malformed(body, e)
@@ -58,7 +58,7 @@
 
     /** `GET /submissions/{id}`. */
     suspend fun poll(id: String): ApiResponse {
-        if (!JobWire.isId(id)) return NO_SUCH_JOB
+        if (!JobWire.isJobId(id)) return NO_SUCH_JOB
         finalStates.known(id)?.let { return view(it, id) }
         if (!served()) return unserved()
         // The counts come first: after the job itself nothing is waited for, so that what is said of it is not
@@ -73,7 +73,7 @@
 
     /** `POST /submissions/{id}/abort`. */
     suspend fun cancel(id: String): ApiResponse {
-        if (!JobWire.isId(id)) return NO_SUCH_JOB
+        if (!JobWire.isJobId(id)) return NO_SUCH_JOB
         if (!served()) return finalStates.known(id)?.let { cancelAnswer(it, id) } ?: unserved()
         repeat(CANCEL_ATTEMPTS) {
             tryCancel(id)?.let { return it }
@@ -100,7 +100,8 @@
     /** A job that is known is answered for, whatever a repeated submission of it now says. */
     private suspend fun malformed(body: ByteArray, cause: MalformedException): ApiResponse {
         val refusal = Refusal(HttpStatus.BAD_REQUEST, cause.message.orEmpty())
-        return JobWire.idOf(body)?.let { refuse(it, refusal) } ?: ApiResponse.error(refusal.status, refusal.message)
+        return JobWire.decodeJobId(body)?.let { refuse(it, refusal) }
+            ?: ApiResponse.error(refusal.status, refusal.message)
     }
 
     /** A job that was accepted stays accepted, even if it would be refused today. */
@@ -160,15 +161,15 @@
         }
         return ApiResponse.of(
             HttpStatus.OK,
-            JobWire.view(JobView(id, JobStatus.LIVE, counts?.done ?: 0, counts?.running ?: 0)),
+            JobWire.encodeStatus(JobView(id, JobStatus.LIVE, counts?.done ?: 0, counts?.running ?: 0)),
         )
     }
 
     private fun view(status: JobStatus, id: String) =
-        ApiResponse.of(HttpStatus.OK, JobWire.view(JobView(id, status, done = 0, running = 0)))
+        ApiResponse.of(HttpStatus.OK, JobWire.encodeStatus(JobView(id, status, done = 0, running = 0)))
 
     private fun cancelAnswer(status: JobStatus, id: String) =
-        ApiResponse.of(HttpStatus.OK, JobWire.cancelled(JobView(id, status, done = 0, running = 0)))
+        ApiResponse.of(HttpStatus.OK, JobWire.encodeCancellation(JobView(id, status, done = 0, running = 0)))
 
     private companion object {
         const val CANCEL_ATTEMPTS = 4
--- a/src/main/kotlin/topazvale/cli/DryRun.kt
+++ b/src/main/kotlin/topazvale/cli/DryRun.kt
@@ -27,7 +27,7 @@
         val vertx = smallVertx()
         val node = httpNode(vertx, settings)
         loadOwnClasses()
-        val http = Http(vertx, connections = 1, connectTimeout = 1.seconds)
+        val http = Http(vertx, maxConnections = 1, connectTimeout = 1.seconds)
         val answered = runBlocking {
             val port = node.start()
             requests.count { http.call(Address("127.0.0.1", port), it) != null }
--- a/src/main/kotlin/topazvale/cli/Main.kt
+++ b/src/main/kotlin/topazvale/cli/Main.kt
@@ -94,7 +94,7 @@
 /** A node whose outside services are reached over HTTP. */
 internal fun httpNode(vertx: Vertx, settings: Settings): Node {
     // Each peer asks us and is asked by us.
-    val sockets = Sockets(settings.maxConnections, fixed = SERVICE_SOCKETS + 2 * settings.peers.size)
+    val sockets = Sockets(settings.maxConnections, fixedConnections = SERVICE_SOCKETS + 2 * settings.peers.size)
     val services = ServiceClients(
         HttpStateService(vertx, settings.state, settings.stateLimits, settings.initialSize),
         HttpCloudService(vertx, settings.cloud, settings.cloudLimits),
--- a/src/main/kotlin/topazvale/mesh/HttpPeerClient.kt
+++ b/src/main/kotlin/topazvale/mesh/HttpPeerClient.kt
@@ -14,7 +14,7 @@
 
 /** Asks peers for their status over HTTP. */
 class HttpPeerClient(vertx: Vertx) : PeerClient {
-    private val http = Http(vertx, connections = 1, connectTimeout = 1.seconds)
+    private val http = Http(vertx, maxConnections = 1, connectTimeout = 1.seconds)
 
     override suspend fun fetchStatus(peer: Peer): ByteArray? =
         http.call(peer.address, Call(HttpMethod.GET, PATH, null, LIMIT))?.takeIf { it.status == HttpStatus.OK }?.body
--- a/src/main/kotlin/topazvale/net/Http.kt
+++ b/src/main/kotlin/topazvale/net/Http.kt
@@ -20,15 +20,15 @@
 class Call(val method: HttpMethod, val path: String, val body: ByteArray?, val limit: Duration)
 
 /** The response to a [Call]. */
-class Reply(val status: Int, val body: ByteArray)
+class HttpResponse(val status: Int, val body: ByteArray)
 
 /** Requests with a time limit. No reply (null) means that the request may or may not have been carried out. */
 class Http(
     vertx: Vertx,
-    connections: Int,
+    maxConnections: Int,
     connectTimeout: Duration,
     keepAliveS: Int = KEEP_ALIVE_S,
-    connected: (HttpConnection) -> Unit = {},
+    onConnect: (HttpConnection) -> Unit = {},
 ) {
     private val log = LoggerFactory.getLogger(Http::class.java)
     private val client: HttpClient = vertx.httpClientBuilder()
@@ -38,20 +38,20 @@
                 .setKeepAliveTimeout(keepAliveS)
                 .setConnectTimeout(connectTimeout.inWholeMilliseconds.toInt()),
         )
-        .with(PoolOptions().setHttp1MaxSize(connections))
-        .withConnectHandler(connected)
+        .with(PoolOptions().setHttp1MaxSize(maxConnections))
+        .withConnectHandler(onConnect)
         .build()
 
     /**
-     * The reply, or null where none came within the call's limit. [wanted] is asked again as the request is about to
-     * leave: a process may have stood still since it was begun.
+     * The reply, or null where none came within the call's limit. [precondition] is asked again as the request is about
+     * to leave: a process may have stood still since it was begun.
      */
-    suspend fun call(to: Address, call: Call, wanted: () -> Boolean = { true }): Reply? =
+    suspend fun call(to: Address, call: Call, precondition: () -> Boolean = { true }): HttpResponse? =
         withTimeoutOrNull(call.limit) {
             val options = RequestOptions().setHost(to.host).setPort(to.port).setMethod(call.method).setURI(call.path)
             try {
                 val request = client.request(options).coAwait()
-                if (wanted()) {
+                if (precondition()) {
                     send(request, call.body)
                 } else {
                     request.reset()
@@ -68,10 +68,10 @@
             }
         }
 
-    private suspend fun send(request: HttpClientRequest, body: ByteArray?): Reply = try {
+    private suspend fun send(request: HttpClientRequest, body: ByteArray?): HttpResponse = try {
         val sent = if (body == null) request.send() else request.send(Buffer.buffer(body))
         // The body is asked for as its head arrives: a caller on another thread would come too late for it.
-        sent.compose { response -> response.body().map { Reply(response.statusCode(), it.bytes) } }.coAwait()
+        sent.compose { response -> response.body().map { HttpResponse(response.statusCode(), it.bytes) } }.coAwait()
     } catch (e: CancellationException) {
         // The connection may still deliver the answer to a request given up: it must not be used again.
         request.connection()?.close()
--- a/src/main/kotlin/topazvale/net/TokenBucket.kt
+++ b/src/main/kotlin/topazvale/net/TokenBucket.kt
@@ -23,13 +23,13 @@
     }
 
     /** Takes [n] tokens whatever is left: for calls that go before all others. */
-    fun force(n: Int = 1) {
+    fun acquireImmediately(n: Int = 1) {
         fill()
         tokens -= n
     }
 
     /** Takes [n] tokens if they are there. */
-    fun tryTake(n: Int = 1): Boolean {
+    fun tryAcquire(n: Int = 1): Boolean {
         fill()
         if (tokens < n) return false
         tokens -= n
@@ -37,14 +37,14 @@
     }
 
     /** How long until a taker of [n] tokens would not have to wait. */
-    fun wait(n: Int = 1): Duration {
+    fun waitTime(n: Int = 1): Duration {
         fill()
         return if (tokens >= n) Duration.ZERO else ((n - tokens) / perSecond).seconds
     }
 
     /** Takes [n] tokens, and waits until they would have been there. */
-    suspend fun take(n: Int = 1) {
-        val wait = wait(n)
+    suspend fun acquire(n: Int = 1) {
+        val wait = waitTime(n)
         tokens -= n
         if (wait > Duration.ZERO) delay(wait)
     }
--- a/src/main/kotlin/topazvale/reconcile/ClusterState.kt
+++ b/src/main/kotlin/topazvale/reconcile/ClusterState.kt
@@ -87,7 +87,7 @@
         job.done.set(index)
         job.doneCount++
         val chunk = index / Keys.CHUNK_TASKS
-        records.later(Keys.chunk(job.spec.id, chunk)) { ChunkRecords.encode(job.done, chunk) }
+        records.putDeferred(Keys.chunk(job.spec.id, chunk)) { ChunkRecords.encode(job.done, chunk) }
     }
 
     /** A start that needs the image is on its way to the machine. */
@@ -99,7 +99,7 @@
     fun imageFetched(machine: ManagedMachine, image: String) {
         val arrived = machine.fetchingImages.remove(image) != null
         if (machine.recordImageUse(image) || arrived) {
-            records.later(machine.group.key) { machine.group.record(valueBytes) }
+            records.putDeferred(machine.group.key) { machine.group.record(valueBytes) }
         }
     }
 
@@ -116,7 +116,9 @@
 
     /** Has the counts written that polls show. */
     fun publishCounts(job: ManagedJob) {
-        records.last(Keys.taskCounts(job.spec.id)) { TaskCountRecord(job.doneCount, job.runningTasks).encode() }
+        records.putBackground(Keys.taskCounts(job.spec.id)) {
+            TaskCountRecord(job.doneCount, job.runningTasks).encode()
+        }
     }
 
     /** The machine has gone back to the cloud, and all that was on it is gone. */
@@ -129,7 +131,7 @@
         if (group.machines.isEmpty()) {
             records.delete(group.key)
         } else {
-            records.later(group.key) { group.record(valueBytes) }
+            records.putDeferred(group.key) { group.record(valueBytes) }
         }
     }
 
--- a/src/main/kotlin/topazvale/reconcile/DirectCommands.kt
+++ b/src/main/kotlin/topazvale/reconcile/DirectCommands.kt
@@ -97,7 +97,7 @@
 
     /** False where no socket is free for it. */
     private fun send(machine: ManagedMachine, orders: List<Order>): Boolean {
-        if (busy.size >= settings.maxConnections / SOCKETS_PART || !context.sockets.spare) return false
+        if (busy.size >= settings.maxConnections / SOCKETS_PART || !context.sockets.hasSpare) return false
         val runs = orders.filterIsInstance<Order.Run>().mapNotNull { machine.placements[it.start] }
         val settledByAnswer = runs.filter { !it.inDoubt }
         for (placed in runs) {
--- a/src/main/kotlin/topazvale/reconcile/JobFinalizer.kt
+++ b/src/main/kotlin/topazvale/reconcile/JobFinalizer.kt
@@ -35,7 +35,7 @@
         job.isFinalizing = true
         val status = if (job.isLive) JobStatus.DONE else JobStatus.CANCELLED
         val chunks = (job.spec.tasks - 1) / Keys.CHUNK_TASKS
-        val commit = records.finish(
+        val commit = records.finalizeJob(
             listOf(Condition(Keys.job(id), job.version)),
             listOf(Change.Delete(Keys.job(id)), Change.Put(Keys.final(id), JobRecords.encodeFinal(status))),
             (0..chunks).map { Keys.chunk(id, it) } + Keys.taskCounts(id),
--- a/src/main/kotlin/topazvale/reconcile/Leadership.kt
+++ b/src/main/kotlin/topazvale/reconcile/Leadership.kt
@@ -166,15 +166,15 @@
             records.flush()
             directCommands.deliver()
             jobs.finalizeJobs(afterEach = ::flushIfWaiting)
-            if (!records.waiting && spareAt.hasPassedNow()) {
-                records.flushSpare()
+            if (!records.hasUrgentWrites && spareAt.hasPassedNow()) {
+                records.flushDeferred()
                 spareAt = clocks.mark() + spareInterval
             }
         }
     }
 
     private suspend fun flushIfWaiting() {
-        if (!records.waiting) return
+        if (!records.hasUrgentWrites) return
         records.flush()
         directCommands.deliver()
     }
--- a/src/main/kotlin/topazvale/reconcile/ProvisioningLoop.kt
+++ b/src/main/kotlin/topazvale/reconcile/ProvisioningLoop.kt
@@ -3,7 +3,7 @@
 import kotlinx.coroutines.channels.Channel
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.withTimeoutOrNull
-import topazvale.cloud.Rental
+import topazvale.cloud.RentalOutcome
 import topazvale.model.Market
 import topazvale.scheduler.BidStrategy
 import topazvale.scheduler.RentalRequest
@@ -64,7 +64,7 @@
     private fun isDue(last: ComparableTimeMark?, interval: Duration) = last == null || last.elapsedNow() > interval
 
     private suspend fun updatePrices() {
-        val types = cloud.types() ?: return delay(PAUSE)
+        val types = cloud.listMachineTypes() ?: return delay(PAUSE)
         pricedAt = clocks.mark()
         cluster.types = types.associateBy { it.name }
         val now = clocks.now()
@@ -73,7 +73,7 @@
     }
 
     private suspend fun updateList() {
-        val machines = cloud.list() ?: return
+        val machines = cloud.listMachines() ?: return
         listedAt = clocks.mark()
         inventory.update(machines)
     }
@@ -100,10 +100,10 @@
         repeat(RENT_ATTEMPTS) {
             if (!term.holdsLease) return
             val rental = cloud.rent(booking, rent.market, rent.count, term::holdsLease)
-            if (rental is Rental.Rented) rented(booking, rent, rental.hosts)
-            if (rental is Rental.NoCapacity) refuse(rent.market)
+            if (rental is RentalOutcome.Rented) rented(booking, rent, rental.hosts)
+            if (rental is RentalOutcome.NoCapacity) refuse(rent.market)
             // Without an answer the same name is asked for again; machines rented all the same show up in the list.
-            if (rental !is Rental.Unknown) return
+            if (rental !is RentalOutcome.Unknown) return
             delay(PAUSE)
         }
     }
@@ -121,7 +121,7 @@
     private suspend fun release() {
         val returning = cluster.machines.values.filter { it.returning }
         val hosts = returning.map { it.host }
-        if (hosts.isEmpty() || !cloud.release(hosts, term::holdsLease)) return
+        if (hosts.isEmpty() || !cloud.returnMachines(hosts, term::holdsLease)) return
         decisions.returned(hosts, term.lastRenewedAt.elapsedNow())
         returning.forEach(cluster::removeReturned)
         refusedUntil -= returning.map { it.market }.toSet()
--- a/src/main/kotlin/topazvale/reconcile/Rebuild.kt
+++ b/src/main/kotlin/topazvale/reconcile/Rebuild.kt
@@ -80,7 +80,7 @@
         Records.readOrNull(entry.key, entry.data, decode).also { if (it == null) complete = false }
 
     private suspend fun read(prefix: String): List<Entry> =
-        readAll(prefix).entries.onEach { records.load(it.key, it.version) }
+        readAll(prefix).entries.onEach { records.loadVersion(it.key, it.version) }
 
     private suspend fun readAll(prefix: String): Listing {
         val began = TimeSource.Monotonic.markNow()
--- a/src/main/kotlin/topazvale/reconcile/StartLog.kt
+++ b/src/main/kotlin/topazvale/reconcile/StartLog.kt
@@ -34,10 +34,10 @@
         var bytes = 0
         val space = valueBytes - HEAD_BYTES
         val rows = placed.groupBy { it.machine to it.start.task.job }.flatMap { (of, starts) ->
-            starts.chunked(StartRow.mostTasks(of.first.host, of.second, space)).map { of to it }
+            starts.chunked(StartRow.maxTasks(of.first.host, of.second, space)).map { of to it }
         }
         for ((of, starts) in rows) {
-            val row = StartRow(of.first.host, 0, of.second, 0, starts.map { it.start.task.index }).bytes
+            val row = StartRow(of.first.host, 0, of.second, 0, starts.map { it.start.task.index }).estimatedBytes
             if (open.isNotEmpty() && bytes + row > space) {
                 write(open)
                 open = ArrayList()
@@ -75,7 +75,7 @@
             batch.live.isEmpty() -> records.delete(batch.key)
 
             // One that was written when values could be larger stays as it is: it may name starts that are over.
-            !reported && Records.size(content(batch)) <= valueBytes -> records.later(batch.key) { content(batch) }
+            !reported && Records.size(content(batch)) <= valueBytes -> records.putDeferred(batch.key) { content(batch) }
         }
     }
 
--- a/src/main/kotlin/topazvale/reconcile/WorkerClient.kt
+++ b/src/main/kotlin/topazvale/reconcile/WorkerClient.kt
@@ -24,15 +24,21 @@
 class HttpWorkerClient(vertx: Vertx, sockets: Sockets) : WorkerClient {
     private val log = LoggerFactory.getLogger(HttpWorkerClient::class.java)
     private val http =
-        Http(vertx, connections = 1, connectTimeout = 1.seconds, keepAliveS = KEEP_ALIVE_S, connected = sockets::count)
+        Http(
+            vertx,
+            maxConnections = 1,
+            connectTimeout = 1.seconds,
+            keepAliveS = KEEP_ALIVE_S,
+            onConnect = sockets::track,
+        )
 
     override suspend fun command(endpoint: String, token: Long, session: Long, orders: List<Order>): Report? {
         val address = Address(endpoint.substringBeforeLast(':'), endpoint.substringAfterLast(':').toInt())
-        val body = WorkerWire.commands(token, session, orders)
+        val body = WorkerWire.encodeCommands(token, session, orders)
         val reply = http.call(address, Call(HttpMethod.POST, "/commands", body, LIMIT))
         if (reply == null || (reply.status != HttpStatus.OK && reply.status != HttpStatus.CONFLICT)) return null
         return try {
-            WorkerWire.report(reply.body)
+            WorkerWire.decodeReport(reply.body)
         } catch (e: MalformedException) {
             log.warn("the answer of {} cannot be read: {}", endpoint, e.message)
             null
--- a/src/main/kotlin/topazvale/state/HttpStateService.kt
+++ b/src/main/kotlin/topazvale/state/HttpStateService.kt
@@ -7,8 +7,8 @@
 import topazvale.config.StateLimits
 import topazvale.net.Call
 import topazvale.net.Http
+import topazvale.net.HttpResponse
 import topazvale.net.HttpStatus
-import topazvale.net.Reply
 import topazvale.net.TokenBucket
 import topazvale.wire.Change
 import topazvale.wire.Condition
@@ -28,16 +28,16 @@
  */
 class HttpStateService(vertx: Vertx, private val address: Address, limits: StateLimits, nodes: Int) : StateService {
     private val log = LoggerFactory.getLogger(HttpStateService::class.java)
-    private val calls = Http(vertx, connections = 8, connectTimeout = 1.seconds)
-    private val renewals = Http(vertx, connections = 2, connectTimeout = 1.seconds)
-    private val watches = Http(vertx, connections = 2, connectTimeout = 1.seconds)
+    private val calls = Http(vertx, maxConnections = 8, connectTimeout = 1.seconds)
+    private val renewals = Http(vertx, maxConnections = 2, connectTimeout = 1.seconds)
+    private val watches = Http(vertx, maxConnections = 2, connectTimeout = 1.seconds)
 
     // Any node may at times do most of the work, so that each has more than its even share; a 429 tells of the rest.
     private val requests = limits.rps.let { TokenBucket(it * share(nodes), it * share(nodes) / 2) }
     private val writes = limits.writeRps.let { TokenBucket(it * share(nodes), it * share(nodes)) }
     private var lastAnswer: ComparableTimeMark = TimeSource.Monotonic.markNow()
 
-    override val silence: Duration get() = lastAnswer.elapsedNow()
+    override val timeSinceLastResponse: Duration get() = lastAnswer.elapsedNow()
 
     override suspend fun get(key: String): Outcome<Entry> {
         if (!admit(0)) return Outcome.Refused
@@ -45,22 +45,22 @@
     }
 
     override suspend fun list(prefix: String, after: String?): Outcome<Page> {
-        requests.take()
+        requests.acquire()
         val since = if (after == null) "" else "&since=$after"
         return outcome(call(calls, HttpMethod.GET, "/kv?under=$prefix$since&limit=$PAGE", null)) { StateWire.page(it) }
     }
 
     override suspend fun commit(conditions: List<Condition>, changes: List<Change>, urgent: Boolean): Commit {
         if (urgent) {
-            requests.take()
-            writes.take(changes.size)
+            requests.acquire()
+            writes.acquire(changes.size)
         } else if (!admit(changes.size)) {
             return Commit.Refused
         }
         return commitOutcome(call(calls, HttpMethod.POST, "/commit", StateWire.transaction(conditions, changes)))
     }
 
-    private fun commitOutcome(reply: Reply?): Commit = try {
+    private fun commitOutcome(reply: HttpResponse?): Commit = try {
         when (reply?.status) {
             null -> Commit.Unknown
             HttpStatus.OK -> Commit.Done(StateWire.revision(reply.body))
@@ -76,25 +76,25 @@
     }
 
     override suspend fun grant(ttl: Duration): Outcome<Long> {
-        requests.force()
+        requests.acquireImmediately()
         return outcome(call(renewals, HttpMethod.POST, "/grants", StateWire.grant(ttl.inWholeMilliseconds))) {
             StateWire.lease(it)
         }
     }
 
     override suspend fun renew(lease: Long): Outcome<Unit> {
-        requests.force()
+        requests.acquireImmediately()
         return outcome(call(renewals, HttpMethod.POST, "/grants/$lease/touch", null, RENEW_LIMIT)) { }
     }
 
     override suspend fun watch(prefix: String, since: Long, wait: Duration): Outcome<Events> {
-        requests.force()
+        requests.acquireImmediately()
         val path = "/watch?under=$prefix&since=$since&waitMs=${wait.inWholeMilliseconds}"
         return outcome(call(watches, HttpMethod.GET, path, null, wait + LIMIT)) { StateWire.events(it) }
     }
 
     private fun admit(changes: Int): Boolean =
-        requests.wait() == Duration.ZERO && (changes == 0 || writes.tryTake(changes)) && requests.tryTake()
+        requests.waitTime() == Duration.ZERO && (changes == 0 || writes.tryAcquire(changes)) && requests.tryAcquire()
 
     private suspend fun call(
         http: Http,
@@ -102,16 +102,16 @@
         path: String,
         body: ByteArray?,
         limit: Duration = LIMIT,
-    ): Reply? {
+    ): HttpResponse? {
         val reply = http.call(address, Call(method, path, body, limit))
         if (reply != null && !isRefusal(reply)) lastAnswer = TimeSource.Monotonic.markNow()
         return reply
     }
 
-    private fun isRefusal(reply: Reply) =
+    private fun isRefusal(reply: HttpResponse) =
         reply.status == HttpStatus.TOO_MANY_REQUESTS || reply.status == HttpStatus.UNAVAILABLE
 
-    private fun <T> outcome(reply: Reply?, read: (ByteArray) -> T): Outcome<T> = when {
+    private fun <T> outcome(reply: HttpResponse?, read: (ByteArray) -> T): Outcome<T> = when {
         reply == null -> Outcome.Unknown
 
         reply.status == HttpStatus.OK -> try {
--- a/src/main/kotlin/topazvale/state/StateService.kt
+++ b/src/main/kotlin/topazvale/state/StateService.kt
@@ -47,7 +47,7 @@
 /** The small consistent store that is the controllers' only memory. */
 interface StateService {
     /** Time since the service last gave this node a useful answer. */
-    val silence: Duration
+    val timeSinceLastResponse: Duration
 
     /** The entry of a key. */
     suspend fun get(key: String): Outcome<Entry>
@@ -85,7 +85,7 @@
         }
         entries += page.entries
         if (revision == null) revision = page.revision
-        if (!page.more || page.entries.isEmpty()) return Outcome.Ok(Listing(entries, revision))
+        if (!page.hasMore || page.entries.isEmpty()) return Outcome.Ok(Listing(entries, revision))
         after = page.entries.last().key
     }
 }
--- a/src/main/kotlin/topazvale/store/RecordWriter.kt
+++ b/src/main/kotlin/topazvale/store/RecordWriter.kt
@@ -22,11 +22,11 @@
  * every key it touches, so that this leader's own late ones, given up and then overtaken, fail too. After a transaction
  * of unknown outcome the versions are read again and the wanted values written again.
  *
- * What something waits for is [put] and written at once; the rest is put [later] and written as spare changes allow,
- * and what is only looked at ([last]) when there is nothing else. Of a key that changes often only its state at the
- * time of writing is written.
+ * What something waits for is [put] and written at once; the rest is put [putDeferred] and written as spare changes
+ * allow, and what is only looked at ([putBackground]) when there is nothing else. Of a key that changes often only its
+ * state at the time of writing is written.
  *
- * [flush], [flushSpare] and [finish] are called by the write loop alone, one at a time.
+ * [flush], [flushDeferred] and [finalizeJob] are called by the write loop alone, one at a time.
  */
 @Suppress("TooManyFunctions") // Few lines each; what can stand alone is in WriteQueue and TransactionLimits.
 class RecordWriter(private val state: StateService, private val fence: Condition, opsLimit: Int) {
@@ -45,13 +45,13 @@
     val term: Long get() = fence.version
 
     /** Whether something waits to be written at once. */
-    val waiting: Boolean get() = queue.urgentKeys.isNotEmpty()
+    val hasUrgentWrites: Boolean get() = queue.urgentKeys.isNotEmpty()
 
     /** Whether what was put with this ticket is in the state service. */
     fun isDurable(ticket: Long): Boolean = queue.isSettled(ticket)
 
     /** The key is in the state service with this version. */
-    fun load(key: String, version: Long) {
+    fun loadVersion(key: String, version: Long) {
         cells[key] = Cell(version, 0, null)
     }
 
@@ -63,36 +63,36 @@
     }
 
     /** To be written when there is time for it. */
-    fun later(key: String, content: Content) {
+    fun putDeferred(key: String, content: Content) {
         want(key, content)
         queue.addSpare(key)
     }
 
     /** To be written when nothing else is left to write: for what is only looked at. */
-    fun last(key: String, content: Content) {
+    fun putBackground(key: String, content: Content) {
         want(key, content)
         queue.addIdle(key)
     }
 
     /** Removes a key when there is time for it; one that was never written costs nothing. */
     fun delete(key: String) {
-        if (key in cells) later(key) { null }
+        if (key in cells) putDeferred(key) { null }
     }
 
     /** Writes until nothing urgent is left to write. */
     suspend fun flush() {
-        while (waiting) write(queue.urgentKeys)
+        while (hasUrgentWrites) write(queue.urgentKeys)
         queue.settle()
     }
 
     /** Writes one transaction of what can wait. */
-    suspend fun flushSpare() {
+    suspend fun flushDeferred() {
         val keys = queue.spareKeys
         if (keys.isNotEmpty()) write(keys)
     }
 
     /** Commits the end of a job together with the removal of [keys]; fails where a condition beyond the fence does. */
-    suspend fun finish(conditions: List<Condition>, changes: List<Change>, keys: List<String>): Commit {
+    suspend fun finalizeJob(conditions: List<Condition>, changes: List<Change>, keys: List<String>): Commit {
         val stored = keys.filter { (cells[it]?.version ?: 0) > 0 }
         val removed = stored.take((limits.mostChanges - changes.size).coerceAtLeast(0))
         val rest = stored.drop(removed.size)
--- a/src/main/kotlin/topazvale/store/Records.kt
+++ b/src/main/kotlin/topazvale/store/Records.kt
@@ -67,7 +67,7 @@
 
     /** As stored. */
     fun encode(r: JobRecord): Map<String, Any?> = mapOf(
-        "job" to JobWire.map(r.spec),
+        "job" to JobWire.encodeSpec(r.spec),
         "at" to r.submitted.toEpochMilliseconds(),
         "status" to statusNames.getValue(r.status),
     )
@@ -87,7 +87,7 @@
     /** As read; throws for what cannot be read. */
     @Suppress("UNCHECKED_CAST")
     fun decode(data: Map<String, Any?>) = JobRecord(
-        spec = JobWire.spec(data["job"] as Map<String, Any?>),
+        spec = JobWire.decodeSpec(data["job"] as Map<String, Any?>),
         submitted = Instant.fromEpochMilliseconds(data["at"] as Long),
         status = status(data),
     )
@@ -132,14 +132,14 @@
 /** Starts on one machine that were put on record together: written before their commands leave. */
 data class StartRow(val host: String, val session: Long, val job: String, val attempt: Long, val tasks: List<Int>) {
     /** About what the row takes in text form. */
-    val bytes: Int get() = ROW_BYTES + host.length + job.length + tasks.size * TASK_BYTES
+    val estimatedBytes: Int get() = ROW_BYTES + host.length + job.length + tasks.size * TASK_BYTES
 
     companion object {
         private const val ROW_BYTES = 56
         private const val TASK_BYTES = 7
 
         /** How many tasks of a job a row on the host may name to stay within [bytes]. */
-        fun mostTasks(host: String, job: String, bytes: Int) =
+        fun maxTasks(host: String, job: String, bytes: Int) =
             ((bytes - ROW_BYTES - host.length - job.length) / TASK_BYTES).coerceAtLeast(1)
     }
 }
--- a/src/main/kotlin/topazvale/wire/JobWire.kt
+++ b/src/main/kotlin/topazvale/wire/JobWire.kt
@@ -22,20 +22,20 @@
     )
 
     /** Whether a text has the form of a job id. */
-    fun isId(id: String) = idForm.matches(id)
+    fun isJobId(id: String) = idForm.matches(id)
 
     /** The id that a body names, also where nothing else of it can be used. */
-    fun idOf(body: ByteArray): String? = try {
-        (Cbor.decodeMap(body)["uid"] as? String)?.takeIf(::isId)
+    fun decodeJobId(body: ByteArray): String? = try {
+        (Cbor.decodeMap(body)["uid"] as? String)?.takeIf(::isJobId)
     } catch (ignored: MalformedException) {
         null
     }
 
     /** A submission as users send it; throws for a malformed one. */
-    fun submission(body: ByteArray): JobSpec = spec(Cbor.decodeMap(body))
+    fun decodeSubmission(body: ByteArray): JobSpec = decodeSpec(Cbor.decodeMap(body))
 
     /** A job from the fields of a submission. */
-    fun spec(map: Map<String, Any?>): JobSpec {
+    fun decodeSpec(map: Map<String, Any?>): JobSpec {
         val f = Fields(map)
         val spec = JobSpec(
             id = f.text("uid"),
@@ -58,14 +58,14 @@
             saveTime = f.span("flushS"),
             deadlineAfter = f.spanOrNull("dueS"),
         )
-        if (!isId(spec.id)) invalid("uid")
+        if (!isJobId(spec.id)) invalid("uid")
         return spec
     }
 
     private fun invalid(field: String): Nothing = throw MalformedException("invalid field: $field")
 
     /** The same fields again: the state service keeps a job in the form it came in. */
-    fun map(s: JobSpec): Map<String, Any?> = buildMap {
+    fun encodeSpec(s: JobSpec): Map<String, Any?> = buildMap {
         put("uid", s.id)
         put("queue", s.queue)
         put("owner", s.team)
@@ -89,7 +89,7 @@
     }
 
     /** The answer to a poll. */
-    fun view(v: JobView): Map<String, Any?> = mapOf(
+    fun encodeStatus(v: JobView): Map<String, Any?> = mapOf(
         "uid" to v.id,
         "status" to when (v.status) {
             JobStatus.DONE -> "done"
@@ -101,10 +101,11 @@
     )
 
     /** The answer to a cancellation. */
-    fun cancelled(job: JobView): Map<String, Any?> = view(job).filterKeys { it == "uid" || it == "status" }
+    fun encodeCancellation(job: JobView): Map<String, Any?> =
+        encodeStatus(job).filterKeys { it == "uid" || it == "status" }
 
     /** The task that a text names; null for any other text. */
-    fun taskId(text: String): TaskId? {
+    fun parseTaskId(text: String): TaskId? {
         val slash = text.lastIndexOf('/')
         val index = if (slash > 0) text.substring(slash + 1).toIntOrNull() else null
         return index?.takeIf { it >= 0 }?.let { TaskId(text.substring(0, slash), it) }
--- a/src/main/kotlin/topazvale/wire/StateWire.kt
+++ b/src/main/kotlin/topazvale/wire/StateWire.kt
@@ -4,7 +4,7 @@
 data class Entry(val key: String, val data: Map<String, Any?>, val version: Long, val lease: Long? = null)
 
 /** A page of entries, as of a revision. */
-data class Page(val entries: List<Entry>, val more: Boolean, val revision: Long)
+data class Page(val entries: List<Entry>, val hasMore: Boolean, val revision: Long)
 
 /** A change of one key. */
 sealed interface Change {
--- a/src/main/kotlin/topazvale/wire/WorkerWire.kt
+++ b/src/main/kotlin/topazvale/wire/WorkerWire.kt
@@ -31,7 +31,7 @@
     )
 
     /** A report as workers send it; throws for a malformed one. */
-    fun report(body: ByteArray): Report {
+    fun decodeReport(body: ByteArray): Report {
         val f = Fields(Cbor.decodeMap(body))
         return Report(
             host = f.text("host"),
@@ -51,7 +51,7 @@
         text.substringBeforeLast(':', "").isNotEmpty() && text.substringAfterLast(':').toIntOrNull() in 1..MAX_PORT
 
     private fun task(f: Fields): ReportedTask {
-        val id = JobWire.taskId(f.text("step")) ?: throw MalformedException("invalid field: step")
+        val id = JobWire.parseTaskId(f.text("step")) ?: throw MalformedException("invalid field: step")
         return ReportedTask(
             start = Start(id, f.count("try")),
             state = states[f.text("status")] ?: throw MalformedException("invalid field: status"),
@@ -61,15 +61,15 @@
     }
 
     /** The answer to a report. */
-    fun answer(token: Long, orders: List<Order>): ByteArray =
+    fun encodeReportResponse(token: Long, orders: List<Order>): ByteArray =
         Cbor.encode(mapOf("epoch" to token, "orders" to orders.map(::order)))
 
     /** Direct commands. */
-    fun commands(token: Long, session: Long, orders: List<Order>): ByteArray =
+    fun encodeCommands(token: Long, session: Long, orders: List<Order>): ByteArray =
         Cbor.encode(mapOf("epoch" to token, "shift" to session, "orders" to orders.map(::order)))
 
     /** For a worker that came to the wrong node. */
-    fun elsewhere(leader: String?): ByteArray =
+    fun encodeRedirect(leader: String?): ByteArray =
         Cbor.encode(if (leader == null) emptyMap() else mapOf("supervisor" to leader))
 
     private fun order(o: Order): Map<String, Any?> = when (o) {
--- a/src/test/kotlin/topazvale/ClusterTest.kt
+++ b/src/test/kotlin/topazvale/ClusterTest.kt
@@ -23,7 +23,7 @@
 import topazvale.model.JobSpec
 import topazvale.net.Call
 import topazvale.net.Http
-import topazvale.net.Reply
+import topazvale.net.HttpResponse
 import topazvale.net.Sockets
 import topazvale.reconcile.ServiceClients
 import topazvale.store.Keys
@@ -42,7 +42,7 @@
     private val store = FakeStateStore()
     private val scope = CoroutineScope(Dispatchers.Default)
     private val clients = smallVertx()
-    private val http = Http(clients, connections = 20, connectTimeout = 2.seconds)
+    private val http = Http(clients, maxConnections = 20, connectTimeout = 2.seconds)
     private val nodes = ArrayList<Running>()
     private val cluster =
         FakeCloud(Samples.types.values.toList(), 500.milliseconds, LEASE, scope, http) { nodes.map { it.port } }
@@ -59,7 +59,12 @@
         val vertx = smallVertx()
         val state = FakeStateService(store)
         val node =
-            Node(vertx, settings, ServiceClients(state, cluster, cluster), Sockets(settings.maxConnections, fixed = 0))
+            Node(
+                vertx,
+                settings,
+                ServiceClients(state, cluster, cluster),
+                Sockets(settings.maxConnections, fixedConnections = 0),
+            )
         nodes += Running(vertx, node, state, runBlocking { node.start() })
     }
 
@@ -70,12 +75,12 @@
     }
 
     /** A node that closes a connection may do so just as it is used once more. */
-    private fun call(method: HttpMethod, path: String, body: ByteArray? = null): Reply = eventually(30.seconds) {
+    private fun call(method: HttpMethod, path: String, body: ByteArray? = null): HttpResponse = eventually(30.seconds) {
         runBlocking { http.call(Address("127.0.0.1", nodes.last().port), Call(method, path, body, 5.seconds)) }
     }
 
     private fun submit(job: JobSpec): Int = eventually(10.seconds) {
-        call(HttpMethod.POST, "/submissions", Cbor.encode(JobWire.map(job))).status.takeIf { it != 503 }
+        call(HttpMethod.POST, "/submissions", Cbor.encode(JobWire.encodeSpec(job))).status.takeIf { it != 503 }
     }
 
     private fun status(id: String) = call(HttpMethod.GET, "/submissions/$id").let {
@@ -184,7 +189,7 @@
         assertEquals(503, status("job-unknown"))
         assertEquals(
             503,
-            call(HttpMethod.POST, "/submissions", Cbor.encode(JobWire.map(spec.copy(id = "job-4")))).status,
+            call(HttpMethod.POST, "/submissions", Cbor.encode(JobWire.encodeSpec(spec.copy(id = "job-4")))).status,
         )
     }
 
@@ -212,7 +217,7 @@
         cluster.deaf += "n-000001"
         submit(spec.copy(tasks = 40))
         done(spec.id)
-        eventually(60.seconds) { Unit.takeIf { "n-000001" !in runBlocking { cluster.list() }.map { it.host } } }
+        eventually(60.seconds) { Unit.takeIf { "n-000001" !in runBlocking { cluster.listMachines() }.map { it.host } } }
         assertTrue(cluster.doubled.isEmpty())
     }
 
--- a/src/test/kotlin/topazvale/api/SubmissionApiTest.kt
+++ b/src/test/kotlin/topazvale/api/SubmissionApiTest.kt
@@ -56,13 +56,13 @@
         )
         cases.forEachIndexed { i, (case, expected) ->
             val (name, spec) = case
-            assertEquals(expected, submit(JobWire.map(spec.copy(id = "job-$i"))).status, name)
+            assertEquals(expected, submit(JobWire.encodeSpec(spec.copy(id = "job-$i"))).status, name)
         }
     }
 
     @Test
     fun `a repeated submission gets the job's state whatever its body now says`() {
-        val body = JobWire.map(array)
+        val body = JobWire.encodeSpec(array)
         assertEquals(201, submit(body).status)
         val changes = listOf("steps" to -1, "owner" to "green", "cores" to 900.0)
         val repeats = listOf(body, body - "queue") + changes.map { body + it }
@@ -75,7 +75,7 @@
             ),
         )
         for (repeat in repeats) assertEquals(200 to "done", submit(repeat).let { it.status to status(it) }, "$repeat")
-        assertEquals(400, submit(JobWire.map(array.copy(id = "job-new")) - "queue").status)
+        assertEquals(400, submit(JobWire.encodeSpec(array.copy(id = "job-new")) - "queue").status)
         runBlocking {
             assertEquals(200 to "done", users.cancel(array.id).let { it.status to status(it) })
             assertEquals(404, users.cancel("job-new").status)
@@ -91,11 +91,11 @@
         store.commit(emptyList(), listOf(Change.Put(Keys.job(large.id), record)))
         store.mostBytes = 2048
         assertEquals("queued", status(users.poll(large.id)))
-        assertEquals(200, submit(JobWire.map(large)).status, "a repeated submission of it")
+        assertEquals(200, submit(JobWire.encodeSpec(large)).status, "a repeated submission of it")
         assertEquals("withdrawn", status(users.cancel(large.id)))
         val kept = JobRecords.decode(store.get(Keys.job(large.id))!!.data)
         assertEquals(listOf(large.team, large.need, large.tasks), kept.spec.let { listOf(it.team, it.need, it.tasks) })
-        assertEquals(400, submit(JobWire.map(large.copy(id = "job-2"))).status)
+        assertEquals(400, submit(JobWire.encodeSpec(large.copy(id = "job-2"))).status)
     }
 
     @Test
@@ -105,13 +105,13 @@
         for (id in listOf("job-1", "job-2")) {
             assertEquals(503 to 1, users.poll(id).let { it.status to it.retryAfterS }, id)
             assertEquals(503 to 1, users.cancel(id).let { it.status to it.retryAfterS }, id)
-            assertEquals(503, submit(JobWire.map(array.copy(id = id))).status, id)
+            assertEquals(503, submit(JobWire.encodeSpec(array.copy(id = id))).status, id)
         }
     }
 
     @Test
     fun `every node that tells a user of a cancellation names it to the others`() = runBlocking {
-        submit(JobWire.map(array))
+        submit(JobWire.encodeSpec(array))
         val other = CancellationLog(1.minutes, Clocks.SYSTEM)
         val elsewhere = SubmissionApi(FakeStateService(store), admission, other, Clocks.SYSTEM) { true }
         // The answer gets lost: it may have been carried out.
@@ -122,7 +122,7 @@
         assertEquals("withdrawn", status(elsewhere.poll(array.id)))
         assertEquals(setOf(array.id), other.ids)
         val second = array.copy(id = "job-2")
-        submit(JobWire.map(second))
+        submit(JobWire.encodeSpec(second))
         state.refusing = true
         assertEquals(503, users.cancel(second.id).status)
         state.refusing = false
--- a/src/test/kotlin/topazvale/emulator/UserEmulator.kt
+++ b/src/test/kotlin/topazvale/emulator/UserEmulator.kt
@@ -22,7 +22,7 @@
             observer.jobs.getOrPut(spec.id) { spec }
             val controller = via ?: anyController()
             val asked = clocks.mark()
-            val answer = controller.submit(Cbor.encode(JobWire.map(spec)))
+            val answer = controller.submit(Cbor.encode(JobWire.encodeSpec(spec)))
             if (answer != null && answer.status < HttpStatus.TOO_MANY_REQUESTS) {
                 if (answer.status <=
                     HttpStatus.CREATED
--- a/src/test/kotlin/topazvale/emulator/WorkerCommands.kt
+++ b/src/test/kotlin/topazvale/emulator/WorkerCommands.kt
@@ -13,7 +13,7 @@
     /** One order of an answer or of a direct command. */
     fun decode(value: Any?): Order {
         val map = value as Map<*, *>
-        val start = Start(JobWire.taskId(map["step"] as String)!!, map["try"] as Long)
+        val start = Start(JobWire.parseTaskId(map["step"] as String)!!, map["try"] as Long)
         return when (map["verb"]) {
             "run" -> Order.Run(start)
             "stop" -> Order.Stop(start, Duration.ZERO)
--- a/src/test/kotlin/topazvale/emulator/WorkerEmulator.kt
+++ b/src/test/kotlin/topazvale/emulator/WorkerEmulator.kt
@@ -111,7 +111,7 @@
 
     private fun begin(key: Key, task: Task) {
         changed = true
-        val spec = observer.jobs.getValue(JobWire.taskId(key.task)!!.job)
+        val spec = observer.jobs.getValue(JobWire.parseTaskId(key.task)!!.job)
         observer.begins(host, key.task)
         if (observer.hasResult(key.task) && !spec.isService) {
             task.status = "exited"
@@ -170,7 +170,7 @@
     private fun run(key: Key) {
         if (key in tasks) return
         changed = true
-        val id = JobWire.taskId(key.task)!!
+        val id = JobWire.parseTaskId(key.task)!!
         val spec = observer.jobs[id.job]
         val busy = tasks.any { (other, t) -> other.task == key.task && t.isThere }
         if (spec == null || busy) {
--- a/src/test/kotlin/topazvale/fake/FakeCloud.kt
+++ b/src/test/kotlin/topazvale/fake/FakeCloud.kt
@@ -5,7 +5,7 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import topazvale.cloud.CloudService
-import topazvale.cloud.Rental
+import topazvale.cloud.RentalOutcome
 import topazvale.config.Address
 import topazvale.model.CloudStatus
 import topazvale.model.ListedMachine
@@ -15,7 +15,7 @@
 import topazvale.model.Report
 import topazvale.net.Call
 import topazvale.net.Http
-import topazvale.net.Reply
+import topazvale.net.HttpResponse
 import topazvale.reconcile.WorkerClient
 import topazvale.wire.Cbor
 import topazvale.wire.WorkerWire
@@ -126,24 +126,24 @@
     /** The node that no worker reaches. */
     var unreachable: Int? = null
 
-    override suspend fun types() = types
+    override suspend fun listMachineTypes() = types
 
-    override suspend fun rent(name: String, market: Market, count: Int, wanted: () -> Boolean): Rental {
+    override suspend fun rent(name: String, market: Market, count: Int, precondition: () -> Boolean): RentalOutcome {
         val hosts = (1..count).map { "n-%06d".format(synchronized(this) { ++created }) }
         for (host in hosts) {
             val worker = Worker(host, market)
             workers[host] = worker
             scope.launch { reporting(worker) }
         }
-        return Rental.Rented(hosts)
+        return RentalOutcome.Rented(hosts)
     }
 
-    override suspend fun release(hosts: List<String>, wanted: () -> Boolean): Boolean {
+    override suspend fun returnMachines(hosts: List<String>, precondition: () -> Boolean): Boolean {
         hosts.forEach { workers.remove(it) }
         return true
     }
 
-    override suspend fun list() = workers.values.map {
+    override suspend fun listMachines() = workers.values.map {
         ListedMachine(it.host, "127.0.0.1:${it.host.removePrefix("n-")}", it.market, CloudStatus.RUNNING, 1.seconds)
     }
 
@@ -158,7 +158,7 @@
             return null
         }
         worker.execute(token, orders)
-        return WorkerWire.report(Cbor.encode(worker.report()))
+        return WorkerWire.decodeReport(Cbor.encode(worker.report()))
     }
 
     private suspend fun reporting(worker: Worker) {
@@ -186,7 +186,7 @@
         }
     }
 
-    private suspend fun beat(port: Int, body: ByteArray): Reply? {
+    private suspend fun beat(port: Int, body: ByteArray): HttpResponse? {
         copies?.let { wait ->
             scope.launch {
                 delay(wait)
@@ -200,7 +200,7 @@
 
     private fun order(value: Any?): Order {
         val map = value as Map<*, *>
-        val task = topazvale.wire.JobWire.taskId(map["step"] as String)!!
+        val task = topazvale.wire.JobWire.parseTaskId(map["step"] as String)!!
         val start = topazvale.model.Start(task, map["try"] as Long)
         return when (map["verb"]) {
             "run" -> Order.Run(start)
--- a/src/test/kotlin/topazvale/fake/FakeCluster.kt
+++ b/src/test/kotlin/topazvale/fake/FakeCluster.kt
@@ -8,7 +8,7 @@
 import topazvale.Samples
 import topazvale.api.ApiResponse
 import topazvale.cloud.CloudService
-import topazvale.cloud.Rental
+import topazvale.cloud.RentalOutcome
 import topazvale.config.Address
 import topazvale.config.Peer
 import topazvale.config.Settings
@@ -94,7 +94,7 @@
         private val runtime =
             ControllerRuntime(
                 own,
-                Sockets(1800, fixed = 0),
+                Sockets(1800, fixedConnections = 0),
                 ownClocks(),
                 Random(members.indexOf(name) + 31 * ++lives),
             )
@@ -135,9 +135,9 @@
         )
 
         private fun cloudClient() = object : CloudService by cloud {
-            override suspend fun types() = cloud.types().also { failIfAsked("types") }
+            override suspend fun listMachineTypes() = cloud.listMachineTypes().also { failIfAsked("types") }
 
-            override suspend fun list() = cloud.list().also { failIfAsked("machines") }
+            override suspend fun listMachines() = cloud.listMachines().also { failIfAsked("machines") }
         }
 
         private fun client() = object : WorkerClient {
@@ -146,7 +146,7 @@
                 val worker = workers["n-" + endpoint.substringAfterLast(':')]
                 val reached = !cutFromWorkers && worker != null && worker.faults.reaches(name)
                 if (!reached) return null.also { delay(2.seconds) }
-                return worker.command(token, session, orders)?.let { WorkerWire.report(it.report) }
+                return worker.command(token, session, orders)?.let { WorkerWire.decodeReport(it.report) }
             }
         }
 
@@ -162,7 +162,7 @@
 
         override suspend fun report(body: ByteArray): ApiResponse? {
             if (cutFromWorkers || nodes[name] !== this) return null
-            return controller.reports.report(WorkerWire.report(body))
+            return controller.reports.report(WorkerWire.decodeReport(body))
         }
 
         override suspend fun submit(body: ByteArray) = controller.submissions.submit(body)
@@ -205,23 +205,28 @@
     private var rented = 0
 
     val cloud = object : CloudService {
-        override suspend fun types() = Samples.types.values.toList().also { delay(20.milliseconds) }
-
-        override suspend fun rent(name: String, market: Market, count: Int, wanted: () -> Boolean): Rental {
+        override suspend fun listMachineTypes() = Samples.types.values.toList().also { delay(20.milliseconds) }
+
+        override suspend fun rent(
+            name: String,
+            market: Market,
+            count: Int,
+            precondition: () -> Boolean,
+        ): RentalOutcome {
             delay(100.milliseconds)
             val hosts = (1..minOf(count, capacity - workers.size)).map { "n-%04d".format(++rented) }
-            if (hosts.isEmpty()) return Rental.NoCapacity
+            if (hosts.isEmpty()) return RentalOutcome.NoCapacity
             hosts.forEach { workers[it] = worker(it, market).also(WorkerEmulator::start) }
-            return Rental.Rented(hosts)
+            return RentalOutcome.Rented(hosts)
         }
 
-        override suspend fun release(hosts: List<String>, wanted: () -> Boolean): Boolean {
+        override suspend fun returnMachines(hosts: List<String>, precondition: () -> Boolean): Boolean {
             delay(100.milliseconds)
             hosts.forEach { workers.remove(it)?.gone() }
             return true
         }
 
-        override suspend fun list(): List<ListedMachine> {
+        override suspend fun listMachines(): List<ListedMachine> {
             delay(100.milliseconds)
             return workers.values.map {
                 ListedMachine(it.host, it.endpoint, it.market, CloudStatus.RUNNING, it.began.elapsedNow())
--- a/src/test/kotlin/topazvale/fake/FakeStateService.kt
+++ b/src/test/kotlin/topazvale/fake/FakeStateService.kt
@@ -106,7 +106,7 @@
     fun list(prefix: String, after: String? = null, limit: Int = Int.MAX_VALUE): Page {
         val rest = values.tailMap(prefix).filterKeys { it.startsWith(prefix) && (after == null || it > after) }
         val entries = rest.entries.take(limit).map { (key, value) -> Entry(key, value.data, value.version) }
-        return Page(entries, more = rest.size > entries.size, revision)
+        return Page(entries, hasMore = rest.size > entries.size, revision)
     }
 
     /** Forgets all changes so far: the next watch from before is told that it is too old. */
@@ -173,7 +173,7 @@
     var latency: Duration = 1.milliseconds
     private var last: ComparableTimeMark = store.clocks.mark()
 
-    override val silence: Duration get() = last.elapsedNow()
+    override val timeSinceLastResponse: Duration get() = last.elapsedNow()
 
     private fun failIfAsked(call: String) {
         failure(call)?.let { throw it }
--- a/src/test/kotlin/topazvale/net/SocketsTest.kt
+++ b/src/test/kotlin/topazvale/net/SocketsTest.kt
@@ -22,10 +22,10 @@
                 Triple(1750, false, true),
             )
         for ((open, spare, scarce) in cases) {
-            val sockets = Sockets(limit = 1801, fixed = 26)
+            val sockets = Sockets(limit = 1801, fixedConnections = 26)
             repeat(open + 5) { sockets.opened() }
             repeat(5) { sockets.closed() }
-            assertEquals(spare to scarce, sockets.spare to sockets.scarce, "$open open")
+            assertEquals(spare to scarce, sockets.hasSpare to sockets.isScarce, "$open open")
         }
     }
 
@@ -39,7 +39,7 @@
                 came++
                 it.response().end()
             }.listen(0, "127.0.0.1").coAwait()
-            val http = Http(vertx, connections = 1, connectTimeout = 2.seconds)
+            val http = Http(vertx, maxConnections = 1, connectTimeout = 2.seconds)
             for (wanted in listOf(false, true, false)) {
                 val reply = http.call(
                     Address("127.0.0.1", server.actualPort()),
--- a/src/test/kotlin/topazvale/reconcile/DirectCommandsTest.kt
+++ b/src/test/kotlin/topazvale/reconcile/DirectCommandsTest.kt
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test
 import topazvale.Samples
 import topazvale.cloud.CloudService
-import topazvale.cloud.Rental
+import topazvale.cloud.RentalOutcome
 import topazvale.config.Settings
 import topazvale.config.SettingsTest
 import topazvale.fake.FakeStateService
@@ -29,13 +29,14 @@
 
 class DirectCommandsTest {
     private object NoCloud : CloudService {
-        override suspend fun types() = null
+        override suspend fun listMachineTypes() = null
 
-        override suspend fun rent(name: String, market: Market, count: Int, wanted: () -> Boolean) = Rental.Refused
+        override suspend fun rent(name: String, market: Market, count: Int, precondition: () -> Boolean) =
+            RentalOutcome.Refused
 
-        override suspend fun release(hosts: List<String>, wanted: () -> Boolean) = false
+        override suspend fun returnMachines(hosts: List<String>, precondition: () -> Boolean) = false
 
-        override suspend fun list() = null
+        override suspend fun listMachines() = null
     }
 
     private val market = Market("plain", "a", spot = false)
@@ -67,7 +68,7 @@
             val term = Term(token = 7, lease = 1, ttl = 4.seconds, Clocks.SYSTEM)
             val services = ServiceClients(FakeStateService(FakeStateStore()), NoCloud, client)
             val context =
-                TermContext(settings, term, services, Sockets(100, fixed = 0), supervised, Clocks.SYSTEM)
+                TermContext(settings, term, services, Sockets(100, fixedConnections = 0), supervised, Clocks.SYSTEM)
             val directCommands = DirectCommands(context, records, cluster, reports) { true }
             val raising = launch { directCommands.propagateToken(1.minutes) }
             withTimeout(30.seconds) { while (cluster.machines.getValue("n-old").token < 7) delay(20.milliseconds) }
--- a/src/test/kotlin/topazvale/reconcile/RebuildTest.kt
+++ b/src/test/kotlin/topazvale/reconcile/RebuildTest.kt
@@ -94,7 +94,7 @@
         val readable = Leader(2).rebuilt()
         assertTrue(readable.rebuild.complete, "of all starts and machines it is known where they are")
         assertEquals(setOf("job-1"), readable.cluster.jobs.keys)
-        runBlocking { repeat(3) { readable.records.flushSpare() } }
+        runBlocking { repeat(3) { readable.records.flushDeferred() } }
         assertEquals(7, store.values.size, "what belongs to a job that is not over stays: ${store.values.keys}")
         for ((key, data) in mapOf("s/1-2" to mapOf("starts" to "?"), "m/r-2" to mapOf("type" to 7))) {
             put(key, data)
@@ -126,7 +126,7 @@
         assertTrue(keys.size in 2..6, "$keys")
         for (key in keys) assertTrue(Records.size(store.values[key]?.data) < VALUE)
         placed.forEach { leader.cluster.removePlacement(it, reported = true) }
-        runBlocking { repeat(3) { leader.records.flushSpare() } }
+        runBlocking { repeat(3) { leader.records.flushDeferred() } }
         assertTrue(store.values.keys.none { it.startsWith(Keys.STARTS) })
     }
 
@@ -170,7 +170,7 @@
         leader.starts.record(placed)
         runBlocking {
             withTimeout(10.seconds) { leader.records.flush() }
-            withTimeout(10.seconds) { repeat(10) { leader.records.flushSpare() } }
+            withTimeout(10.seconds) { repeat(10) { leader.records.flushDeferred() } }
         }
         assertTrue(placed.all { it.mayBeSent(leader.records) })
         val next = Leader(3, SMALL).rebuilt().cluster
@@ -188,12 +188,12 @@
         store.mostBytes = SMALL
         store.mostOps = 8
         runBlocking {
-            withTimeout(10.seconds) { repeat(6) { leader.records.flushSpare() } }
+            withTimeout(10.seconds) { repeat(6) { leader.records.flushDeferred() } }
             assertEquals(13, store.values.keys.count { it.startsWith(Keys.CHUNKS) })
             JobLifecycle(state, leader.records, leader.cluster, Clocks.SYSTEM) {}.finalizeJobs {}
             assertEquals("DONE", store.get(Keys.final(large.id))?.data?.get("status"))
             assertTrue(store.values.keys.any { it.startsWith(Keys.CHUNKS) }, "not all at once")
-            withTimeout(10.seconds) { repeat(6) { leader.records.flushSpare() } }
+            withTimeout(10.seconds) { repeat(6) { leader.records.flushDeferred() } }
         }
         assertEquals(listOf(Keys.final(large.id)), store.values.keys.toList())
     }
--- a/src/test/kotlin/topazvale/soak/SoakCluster.kt
+++ b/src/test/kotlin/topazvale/soak/SoakCluster.kt
@@ -79,7 +79,7 @@
     private val settings = Settings.parse(SoakSettings(members.first(), 1, 1, emptyList(), 1, 1, options).text())
     override val limits = settings.workers
     override val observer = RuleObserver(settings, clocks)
-    private val http = Http(vertx, connections = options.workers + USER_CONNECTIONS, connectTimeout = 1.seconds)
+    private val http = Http(vertx, maxConnections = options.workers + USER_CONNECTIONS, connectTimeout = 1.seconds)
 
     /** The machines and their workers. */
     val cloud = CloudServer(vertx, scope, this, options.workers, random, log)
--- a/src/test/kotlin/topazvale/soak/StateServer.kt
+++ b/src/test/kotlin/topazvale/soak/StateServer.kt
@@ -87,7 +87,7 @@
         val page = store.list(request.parameter("under"), after, minOf(limit, faults.pageSize))
         val body = mapOf(
             "entries" to page.entries.map(::fields),
-            "truncated" to page.more,
+            "truncated" to page.hasMore,
             "generation" to page.revision,
         )
         delay(faults.pageDelay())
--- a/src/test/kotlin/topazvale/store/RecordFormsTest.kt
+++ b/src/test/kotlin/topazvale/store/RecordFormsTest.kt
@@ -76,7 +76,7 @@
 
     @Test
     fun `a service has the form of any job, and fields of a later version are passed over`() {
-        val form = stored(JobWire.map(Samples.service))
+        val form = stored(JobWire.encodeSpec(Samples.service))
         assertEquals("service" to 0.0, form["shape"] to form["expectS"])
         val record = mapOf("job" to form + ("later" to 1), "at" to 5L, "status" to "LIVE", "later" to mapOf("x" to 1))
         assertEquals(Shape.SERVICE, JobRecords.decode(stored(record)).spec.shape)
--- a/src/test/kotlin/topazvale/store/RecordWriterTest.kt
+++ b/src/test/kotlin/topazvale/store/RecordWriterTest.kt
@@ -38,7 +38,7 @@
         records.delete("m/3")
         records.flush()
         assertEquals(mapOf("v" to 3L), store.get("m/3")?.data, "what can wait is written apart")
-        records.flushSpare()
+        records.flushDeferred()
         assertEquals(null, store.get("m/3"))
     }
 
@@ -85,8 +85,8 @@
         assertEquals(mapOf("v" to 1L), store.get("m/next")?.data)
         assertEquals(listOf(false, true), listOf(wide, next).map(records::isDurable))
         // What has become small enough is written after all.
-        records.later("m/wide") { mapOf("v" to "x") }
-        records.flushSpare()
+        records.putDeferred("m/wide") { mapOf("v" to "x") }
+        records.flushDeferred()
         assertTrue(records.isDurable(wide))
     }
 
--- a/src/test/kotlin/topazvale/wire/WireTest.kt
+++ b/src/test/kotlin/topazvale/wire/WireTest.kt
@@ -11,7 +11,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 class WireTest {
-    private val good = JobWire.map(Samples.array)
+    private val good = JobWire.encodeSpec(Samples.array)
 
     @Test
     fun `submissions come back as they went`() {
@@ -20,7 +20,7 @@
             Samples.gang,
             Samples.array.copy(types = listOf("gpu"), zone = "a", deadlineAfter = 30.seconds),
         )) {
-            assertEquals(spec, JobWire.submission(Cbor.encode(JobWire.map(spec))))
+            assertEquals(spec, JobWire.decodeSubmission(Cbor.encode(JobWire.encodeSpec(spec))))
         }
     }
 
@@ -41,7 +41,8 @@
             "invalid field: oneZone" to good + ("oneZone" to "yes"),
         )
         for ((message, body) in cases) {
-            val e = assertThrows(MalformedException::class.java, { JobWire.submission(Cbor.encode(body)) }, message)
+            val e =
+                assertThrows(MalformedException::class.java, { JobWire.decodeSubmission(Cbor.encode(body)) }, message)
             assertEquals(message, e.message)
         }
     }
@@ -54,7 +55,7 @@
             for (value in listOf(null, listOf(1), mapOf("a" to 1))) {
                 val e =
                     assertThrows(MalformedException::class.java, {
-                        JobWire.submission(Cbor.encode(good + (field to value)))
+                        JobWire.decodeSubmission(Cbor.encode(good + (field to value)))
                     }, field)
                 assertEquals(if (value == null) "missing field: $field" else "invalid field: $field", e.message)
             }
@@ -63,14 +64,14 @@
             for (value in listOf(-0.5, Double.NaN, Double.POSITIVE_INFINITY, "1", true)) {
                 val e =
                     assertThrows(MalformedException::class.java, {
-                        JobWire.submission(Cbor.encode(good + (field to value)))
+                        JobWire.decodeSubmission(Cbor.encode(good + (field to value)))
                     }, field)
                 assertEquals("invalid field: $field", e.message)
             }
         }
         for ((field, value) in listOf("flavors" to "gpu", "hall" to 1, "hall" to listOf("a"))) {
             assertThrows(MalformedException::class.java, {
-                JobWire.submission(Cbor.encode(good + (field to value)))
+                JobWire.decodeSubmission(Cbor.encode(good + (field to value)))
             }, field)
         }
     }
@@ -82,7 +83,7 @@
             "host" to "n-1", "endpoint" to "10.1.0.1:9000", "flavor" to "gpu", "hall" to "a", "standby" to true,
             "shift" to 2, "tick" to 9, "epoch" to 41, "steps" to listOf(task),
         )
-        WorkerWire.report(Cbor.encode(fine))
+        WorkerWire.decodeReport(Cbor.encode(fine))
         val bad = listOf(
             fine + ("endpoint" to "nowhere"), fine + ("endpoint" to "10.1.0.1:port"),
             fine + ("endpoint" to "10.1.0.1:70000"),
@@ -95,7 +96,7 @@
         )
         for (body in bad) {
             assertThrows(MalformedException::class.java, {
-                WorkerWire.report(Cbor.encode(body))
+                WorkerWire.decodeReport(Cbor.encode(body))
             }, "$body")
         }
     }
@@ -115,13 +116,15 @@
     fun `what is not one CBOR map is malformed`() {
         val truncated = Cbor.encode(good).let { it.copyOf(it.size - 3) }
         for (bytes in listOf(ByteArray(0), byteArrayOf(-1), Cbor.encode(listOf(1)), Cbor.encode("text"), truncated)) {
-            assertThrows(MalformedException::class.java) { JobWire.submission(bytes) }
+            assertThrows(MalformedException::class.java) { JobWire.decodeSubmission(bytes) }
         }
     }
 
     @Test
     fun `whole numbers pass for amounts, every float width is read, unknown fields are ignored`() {
-        val spec = JobWire.submission(Cbor.encode(good + mapOf("cores" to 5, "steps" to 4.0, "new" to listOf(null))))
+        val spec = JobWire.decodeSubmission(
+            Cbor.encode(good + mapOf("cores" to 5, "steps" to 4.0, "new" to listOf(null))),
+        )
         assertEquals(Samples.array, spec)
         // 1.5 in half, single and double precision
         val widths = listOf("f93e00", "fa3fc00000", "fb3ff8000000000000")
@@ -147,10 +150,12 @@
                     ),
                 ),
         )
-        val report = WorkerWire.report(Cbor.encode(body))
+        val report = WorkerWire.decodeReport(Cbor.encode(body))
         assertEquals(Start(TaskId("job-1", 3), 5), report.tasks.single().start)
         assertEquals(TaskState.EXITED, report.tasks.single().state)
-        val answer = Cbor.decodeMap(WorkerWire.answer(41, listOf(Order.Stop(Start(TaskId("job-1", 3), 5), 2.seconds))))
+        val answer = Cbor.decodeMap(
+            WorkerWire.encodeReportResponse(41, listOf(Order.Stop(Start(TaskId("job-1", 3), 5), 2.seconds))),
+        )
         assertEquals(
             listOf(mapOf("verb" to "stop", "step" to "job-1/3", "try" to 5L, "drainS" to 2.0)),
             answer["orders"],
