--- a/src/main/kotlin/topazvale/scheduler/Candidate.kt
+++ b/src/main/kotlin/topazvale/scheduler/Candidate.kt
@@ -5,59 +5,69 @@
 import topazvale.model.Resources
 
 /**
- * A machine that tasks may be placed on, with what is left of it while a plan is made. [gpusWanted]: work with GPUs
- * waits.
+ * A machine on which tasks may be placed, with its remaining capacity while a plan is made. [gpuWorkWaiting]: whether
+ * any waiting job needs GPUs.
  */
-internal class Candidate(val machine: MachineState, private val gpusWanted: Boolean) {
+internal class Candidate(val machine: MachineState, private val gpuWorkWaiting: Boolean) {
+    /** Capacity that the plan may still use; negative while tasks are placed on claimed releases. */
     var free: Resources = machine.free
         private set
 
-    /** Held for gangs that need more before they can start. */
+    /** Capacity held for gangs that need more before they can start. */
     var held = Resources.NONE
         private set
-    var starts: Int = machine.startSlots
+    var startSlots: Int = machine.startSlots
         private set
-    private var fetching: HashMap<String, Double>? = null
 
-    /** Of the releases expected here, those that a job of this plan will use. */
+    /** Images that the tasks placed by this plan fetch, with their sizes in gigabytes. */
+    private var plannedFetches: HashMap<String, Double>? = null
+
+    /** The expected releases on this machine that a job of this plan will use. */
     private val claimed = HashSet<CapacityRelease>()
 
-    /** What those will give back. It is not there yet, so that [free] may be below nothing meanwhile. */
-    private var promised = Resources.NONE
+    /** The resources of the claimed releases. They are not released yet, so [free] may be negative meanwhile. */
+    private var claimedCapacity = Resources.NONE
 
-    /** What jobs of a rank, with or without GPUs, could have stopped; worked out once. */
-    private data class Claimant(val rank: Rank, val usesGpus: Boolean)
+    /** What decides, besides the machine, which tasks a job may preempt. */
+    private data class Preemptor(val rank: Rank, val usesGpus: Boolean)
 
-    private val yielded = HashMap<Claimant, Resources>()
+    /** The resources of all victims for each kind of preempting job; a cache. */
+    private val victimCapacity = HashMap<Preemptor, Resources>()
 
-    /** How long a task would wait for its image. Images that are fetched at the same time share the rate. */
+    /** How long a task waits for its image. Concurrent fetches share the machine's fetch rate. */
     fun fetchSeconds(spec: JobSpec): Double {
-        val own = fetching
-        val asked = spec.image in machine.fetchingImages || own?.containsKey(spec.image) == true
-        if (!asked && spec.image in machine.images) return 0.0
-        val queued = machine.fetchingImages.values.sum() + (own?.values?.sum() ?: 0.0)
-        return (if (asked) queued else queued + spec.imageGb) / machine.type.fetchGbPerS
+        val planned = plannedFetches
+        val isFetching = spec.image in machine.fetchingImages || planned?.containsKey(spec.image) == true
+        if (!isFetching && spec.image in machine.images) return 0.0
+        val queuedGb = machine.fetchingImages.values.sum() + (planned?.values?.sum() ?: 0.0)
+        return (if (isFetching) queuedGb else queuedGb + spec.imageGb) / machine.type.fetchGbPerS
     }
 
-    /** Whether another image is on its way: a second one would make both late. */
-    fun fetchesOther(spec: JobSpec): Boolean =
-        machine.fetchingImages.keys.any { it != spec.image } || fetching?.keys?.any { it != spec.image } == true
+    /** Whether the machine fetches a different image: a second concurrent fetch would delay both. */
+    fun fetchesOtherImage(spec: JobSpec): Boolean =
+        machine.fetchingImages.keys.any { it != spec.image } || plannedFetches?.keys?.any { it != spec.image } == true
 
-    /** Tasks of the job are placed here. */
-    fun take(spec: JobSpec, tasks: Int) {
+    /** Uses capacity and start slots for tasks of the job, and notes the fetch of its image. */
+    fun place(spec: JobSpec, tasks: Int) {
         free -= spec.need * tasks
-        starts -= tasks
+        startSlots -= tasks
         if (spec.image in machine.images) return
-        val images = fetching ?: HashMap<String, Double>().also { fetching = it }
+        val images = plannedFetches ?: HashMap<String, Double>().also { plannedFetches = it }
         images[spec.image] = spec.imageGb
     }
 
-    /** Reserved for replicas like [spec]; no other job may use it, nor does it count as free when renting. */
-    fun keep(spec: JobSpec, tasks: Int) {
+    /**
+     * Reserves capacity for replicas like [spec]: other jobs may not use it, and the provisioner does not count it as
+     * free. A negative number of tasks cancels a reservation.
+     */
+    fun reserve(spec: JobSpec, tasks: Int) {
         free -= spec.need * tasks
     }
 
-    /** Held from later jobs of this plan; free all the same when it is worked out what to rent. */
+    /**
+     * Holds capacity back from later jobs of this plan; the provisioner still counts it as free. A negative number of
+     * tasks cancels a hold.
+     */
     fun hold(spec: JobSpec, tasks: Int) {
         val share = spec.need * tasks
         free -= share
@@ -65,31 +75,33 @@
     }
 
     /**
-     * What stops here, or may be stopped for a job, and is not claimed. Work with GPUs is stopped for work that has no
-     * use for them only while none of it waits and only if its job has time: what is pressing has the first right to
-     * the machine, would be back at once, and so on without end.
+     * The unclaimed releases that a job could use: tasks that are stopping already, and tasks that it may preempt.
+     *
+     * A job without GPUs preempts a task with GPUs only while no work with GPUs waits, and only if the task's job can
+     * still start later and meet its deadline. A job that must start now has priority on the machine: it would be
+     * placed there again at once and be preempted again, in an endless cycle.
      */
     fun victims(spec: JobSpec): List<CapacityRelease> = machine.releases.value.filter {
-        val spared = it.need.gpus > 0.0 && spec.need.gpus == 0.0 && (gpusWanted || it.mustStartNow)
-        val yields = it.lostWork != null && it.rank < spec.rank && !spared
-        (it.stopping || yields) && it !in claimed
+        val isProtected = it.need.gpus > 0.0 && spec.need.gpus == 0.0 && (gpuWorkWaiting || it.mustStartNow)
+        val isPreemptible = it.lostWork != null && it.rank < spec.rank && !isProtected
+        (it.stopping || isPreemptible) && it !in claimed
     }
 
-    /** All that there could be for a job. */
-    fun reach(spec: JobSpec): Resources {
-        val claimant = Claimant(spec.rank, spec.need.gpus > 0.0)
-        return eventual + yielded.getOrPut(claimant) {
+    /** The most capacity that the job could get here: free, claimed, and released by its victims. */
+    fun attainableCapacity(spec: JobSpec): Resources {
+        val preemptor = Preemptor(spec.rank, spec.need.gpus > 0.0)
+        return freeAfterReleases + victimCapacity.getOrPut(preemptor) {
             victims(spec).fold(Resources.NONE) { sum, victim -> sum + victim.need }
         }
     }
 
-    /** What will be free once the claimed releases have happened. */
-    val eventual: Resources get() = free + promised
+    /** The capacity that will be free after the claimed releases. */
+    val freeAfterReleases: Resources get() = free + claimedCapacity
 
-    /** A job of this plan will use what these give back. */
+    /** Claims the capacity that the victims will release for a job of this plan. */
     fun claim(victims: List<CapacityRelease>) {
         claimed += victims
-        for (victim in victims) promised += victim.need
-        yielded.clear()
+        for (victim in victims) claimedCapacity += victim.need
+        victimCapacity.clear()
     }
 }
--- a/src/main/kotlin/topazvale/scheduler/CandidateSelection.kt
+++ b/src/main/kotlin/topazvale/scheduler/CandidateSelection.kt
@@ -2,146 +2,156 @@
 
 import topazvale.model.JobSpec
 
-/** So many tasks of a job on a candidate. */
-internal class Pick(val candidate: Candidate, val tasks: Int, val detour: Double)
+/** A number of a job's tasks for one candidate, with the placement cost of each task in seconds. */
+internal class TaskAllocation(val candidate: Candidate, val tasks: Int, val cost: Double)
 
-/** Chooses machines for the tasks of one job among candidates with room; changes nothing. */
-internal class CandidateSelection(private val snapshot: Snapshot, private val imageWaits: ImageWaits) {
+/** Chooses machines for the tasks of one job among candidates with free capacity; changes nothing. */
+internal class CandidateSelection(private val snapshot: Snapshot, private val imageLocality: ImageLocality) {
     /**
-     * A candidate with room for so many tasks. [detour]: what it costs, in seconds, to use it and not a better one;
-     * [fetch] of that is the wait for the image.
+     * A candidate with free capacity for [maxTasks] tasks. [cost]: the placement cost, in seconds, of using it instead
+     * of an ideal machine. It includes [fetchSeconds], the wait for the image.
      */
-    private class Option(val candidate: Candidate, val tasks: Int, val fetch: Double, val detour: Double) {
+    private class PlacementOption(
+        val candidate: Candidate,
+        val maxTasks: Int,
+        val fetchSeconds: Double,
+        val cost: Double,
+    ) {
         val host get() = candidate.machine.host
         val zone get() = candidate.machine.market.zone
     }
 
-    /** Where up to [tasks] tasks of the job should go; a gang gets places for all of them or none. */
-    fun select(job: WaitingJob, tasks: Int, candidates: List<Candidate>): List<Pick> {
-        val patient = imageWaits.patient(job)
-        val options = candidates.mapNotNull { option(job.spec, it, patient) }
+    /** Allocates up to [tasks] tasks of the job; for a gang either all of them or none. */
+    fun select(job: WaitingJob, tasks: Int, candidates: List<Candidate>): List<TaskAllocation> {
+        val mayWaitForImage = imageLocality.mayWait(job)
+        val options = candidates.mapNotNull { option(job.spec, it, mayWaitForImage) }
         return when {
-            job.spec.oneZone -> inOneZone(job, tasks, options)
-            job.spec.isService -> apart(job, tasks, options)
-            else -> fill(job, tasks, options)
+            job.spec.oneZone -> selectInOneZone(job, tasks, options)
+            job.spec.isService -> distributeReplicas(job, tasks, options)
+            else -> selectByCost(job, tasks, options)
         }
     }
 
-    private fun option(spec: JobSpec, candidate: Candidate, patient: Boolean): Option? {
+    private fun option(spec: JobSpec, candidate: Candidate, mayWaitForImage: Boolean): PlacementOption? {
         if (!PlacementRules.allows(spec, candidate.machine)) return null
-        val tasks = PlacementRules.usableTasks(spec, candidate, snapshot.cpusPerGpu)
-        if (tasks == 0) return null
-        val fetch = candidate.fetchSeconds(spec)
-        if (patient && fetch > SHORT_FETCH_S && candidate.fetchesOther(spec)) return null
-        return Option(candidate, tasks, fetch, fetch + detour(spec, candidate))
+        val maxTasks = PlacementRules.usableTasks(spec, candidate, snapshot.cpusPerGpu)
+        if (maxTasks == 0) return null
+        val fetchSeconds = candidate.fetchSeconds(spec)
+        if (mayWaitForImage && fetchSeconds > SHORT_FETCH_S && candidate.fetchesOtherImage(spec)) return null
+        return PlacementOption(candidate, maxTasks, fetchSeconds, fetchSeconds + machineCost(spec, candidate))
     }
 
-    /** Beside the fetch of the image. */
-    private fun detour(spec: JobSpec, candidate: Candidate): Double {
+    /** The placement cost without the fetch of the image. */
+    private fun machineCost(spec: JobSpec, candidate: Candidate): Double {
         val machine = candidate.machine
-        val misplaced = if (PlacementRules.misplaced(spec, candidate)) MISPLACED_S else 0.0
-        // A machine that could soon be returned. Capacity is reserved for replicas on idle machines too, and these
-        // stay.
-        val idle = if (machine.idleFor != null && candidate.free == machine.free && !spec.isService) IDLE_S else 0.0
-        // A steady machine is better left to those who may use no others; replicas are better off on one.
-        val wrongMarket = if (spec.spotAllowed && machine.market.spot == spec.isService) WRONG_MARKET_S else 0.0
-        return misplaced + idle + wrongMarket
+        val gpuWasteCost = if (PlacementRules.wastesGpus(spec, candidate)) GPU_WASTE_COST_S else 0.0
+        // An unused machine could soon be returned. Replicas are exempt: capacity is reserved for them on idle machines
+        // too, and these are not returned.
+        val idleCost =
+            if (machine.idleFor != null && candidate.free == machine.free && !spec.isService) IDLE_COST_S else 0.0
+        // On-demand machines are left to jobs that may not use spot machines, but replicas are better off on them.
+        val marketCost = if (spec.spotAllowed && machine.market.spot == spec.isService) WRONG_MARKET_COST_S else 0.0
+        return gpuWasteCost + idleCost + marketCost
     }
 
-    private fun inOneZone(job: WaitingJob, tasks: Int, options: List<Option>): List<Pick> {
-        val fixed = job.placedByZone.keys.firstOrNull()
-        val zones = options.groupBy { it.zone }.filterKeys { fixed == null || it == fixed }.values
-        val whole = zones.filter { zone -> zone.sumOf { it.tasks } >= tasks }
-        if (whole.isEmpty()) {
-            val largest = zones.maxByOrNull { zone -> zone.sumOf { it.tasks } }
-            return if (job.spec.isGang || largest == null) emptyList() else fill(job, tasks, largest)
+    private fun selectInOneZone(job: WaitingJob, tasks: Int, options: List<PlacementOption>): List<TaskAllocation> {
+        val boundZone = job.placedByZone.keys.firstOrNull()
+        val zones = options.groupBy { it.zone }.filterKeys { boundZone == null || it == boundZone }.values
+        val sufficient = zones.filter { zone -> zone.sumOf { it.maxTasks } >= tasks }
+        if (sufficient.isEmpty()) {
+            val largest = zones.maxByOrNull { zone -> zone.sumOf { it.maxTasks } }
+            return if (job.spec.isGang || largest == null) emptyList() else selectByCost(job, tasks, largest)
         }
-        // Of zones that are as good the fullest one: a larger gang may need the room of the others.
-        return whole.sortedBy { zone -> zone.sumOf { it.tasks } }
-            .map { fill(job, tasks, it) }
-            .minBy { picks -> picks.sumOf { it.detour * it.tasks } }
+        // Among zones of equal cost the one with the least free capacity: a larger gang may need that of the others.
+        return sufficient.sortedBy { zone -> zone.sumOf { it.maxTasks } }
+            .map { selectByCost(job, tasks, it) }
+            .minBy { allocations -> allocations.sumOf { it.cost * it.tasks } }
     }
 
     /**
-     * A machine or a zone that is lost should take as few replicas with it as can be; but to be served late, as the
-     * image has to be fetched first, is worse.
+     * Distributes replicas so that the loss of a machine or a zone takes as few of them as possible. A late start,
+     * because the image has to be fetched first, counts as worse than a shared machine or zone.
      */
-    private fun apart(job: WaitingJob, tasks: Int, options: List<Option>): List<Pick> {
+    private fun distributeReplicas(job: WaitingJob, tasks: Int, options: List<PlacementOption>): List<TaskAllocation> {
         val inZone = HashMap(job.placedByZone)
         val onHost = HashMap(job.placedByHost)
-        val picked = LinkedHashMap<Option, Int>()
-        fun open(option: Option) =
-            (picked[option] ?: 0) < option.tasks && (inZone[option.zone] ?: 0) < job.spec.zoneLimit
-
-        fun cost(option: Option): Double {
-            val shared = (onHost[option.host] ?: 0) * SHARED_MACHINE_S + (inZone[option.zone] ?: 0) * SHARED_ZONE_S
-            return shared + option.detour
+        val selected = LinkedHashMap<PlacementOption, Int>()
+        fun hasCapacity(option: PlacementOption) =
+            (selected[option] ?: 0) < option.maxTasks && (inZone[option.zone] ?: 0) < job.spec.zoneLimit
+
+        fun cost(option: PlacementOption): Double {
+            val sharingCost =
+                (onHost[option.host] ?: 0) * SHARED_MACHINE_COST_S + (inZone[option.zone] ?: 0) * SHARED_ZONE_COST_S
+            return sharingCost + option.cost
         }
         repeat(tasks) {
-            val best = options.filter(::open)
-                .minWithOrNull(compareBy({ PlacementRules.misplaced(job.spec, it.candidate) }, ::cost))
+            val best = options.filter(::hasCapacity)
+                .minWithOrNull(compareBy({ PlacementRules.wastesGpus(job.spec, it.candidate) }, ::cost))
                 ?: return@repeat
-            picked.merge(best, 1, Int::plus)
+            selected.merge(best, 1, Int::plus)
             onHost.merge(best.host, 1, Int::plus)
             inZone.merge(best.zone, 1, Int::plus)
         }
-        return picked.map { (option, count) -> Pick(option.candidate, count, option.detour) }
+        return selected.map { (option, count) -> TaskAllocation(option.candidate, count, option.cost) }
     }
 
-    private fun fill(job: WaitingJob, tasks: Int, options: List<Option>): List<Pick> {
-        val zones = ZoneLimit(job)
-        val fetches = FetchLimit(job)
-        val picks = ArrayList<Pick>()
-        var left = tasks
-        for (option in options.sortedBy { it.detour }) {
-            if (left == 0) break
-            val count = fetches.limit(option, left, minOf(left, option.tasks, zones.left(option.zone)))
+    private fun selectByCost(job: WaitingJob, tasks: Int, options: List<PlacementOption>): List<TaskAllocation> {
+        val zoneLimit = ZoneLimit(job)
+        val fetchLimit = FetchLimit(job)
+        val allocations = ArrayList<TaskAllocation>()
+        var remaining = tasks
+        for (option in options.sortedBy { it.cost }) {
+            if (remaining == 0) break
+            val count =
+                fetchLimit.limit(option, remaining, minOf(remaining, option.maxTasks, zoneLimit.remaining(option.zone)))
             if (count > 0) {
-                picks += Pick(option.candidate, count, option.detour)
-                zones.take(option.zone, count)
-                fetches.take(option, count)
-                left -= count
+                allocations += TaskAllocation(option.candidate, count, option.cost)
+                zoneLimit.record(option.zone, count)
+                fetchLimit.record(option, count)
+                remaining -= count
             }
         }
-        // A gang starts whole or not at all.
-        return if (job.spec.isGang && left > 0) emptyList() else picks
+        // A gang starts with all its tasks or not at all.
+        return if (job.spec.isGang && remaining > 0) emptyList() else allocations
     }
 
-    /** How many tasks of a spread job may still go to each zone. */
+    /** How many tasks of a spread job may still be placed in each zone. */
     private class ZoneLimit(private val job: WaitingJob) {
         private val inZone = HashMap(job.placedByZone)
 
-        fun left(zone: String): Int = if (job.spec.spread) job.spec.zoneLimit - (inZone[zone] ?: 0) else Int.MAX_VALUE
+        fun remaining(zone: String): Int =
+            if (job.spec.spread) job.spec.zoneLimit - (inZone[zone] ?: 0) else Int.MAX_VALUE
 
-        fun take(zone: String, tasks: Int) {
+        fun record(zone: String, tasks: Int) {
             inZone.merge(zone, tasks, Int::plus)
         }
     }
 
     /**
-     * How many tasks of an ordinary job should fetch their image for long, rather than wait for machines that have it.
+     * Limits how many tasks of an ordinary job fetch their image for long. The others wait for machines that cache it.
      */
     private inner class FetchLimit(private val job: WaitingJob) {
-        private var left: Int? = null
+        private var remaining: Int? = null
 
-        fun limit(option: Option, wanted: Int, count: Int): Int {
-            if (option.fetch <= SHORT_FETCH_S || !imageWaits.patient(job)) return count
-            val most = left ?: imageWaits.fetching(job, wanted, option.fetch).also { left = it }
-            return minOf(count, most)
+        fun limit(option: PlacementOption, unplaced: Int, count: Int): Int {
+            if (option.fetchSeconds <= SHORT_FETCH_S || !imageLocality.mayWait(job)) return count
+            val maxFetches =
+                remaining ?: imageLocality.tasksToFetch(job, unplaced, option.fetchSeconds).also { remaining = it }
+            return minOf(count, maxFetches)
         }
 
-        fun take(option: Option, tasks: Int) {
-            if (option.fetch > SHORT_FETCH_S) left = left?.minus(tasks)
+        fun record(option: PlacementOption, tasks: Int) {
+            if (option.fetchSeconds > SHORT_FETCH_S) remaining = remaining?.minus(tasks)
         }
     }
 
     companion object {
-        /** A fetch that is not worth a detour. */
+        /** A fetch of at most this many seconds is not worth avoiding. */
         const val SHORT_FETCH_S = 5.0
-        private const val MISPLACED_S = 1000.0
-        private const val IDLE_S = 15.0
-        private const val WRONG_MARKET_S = 5.0
-        private const val SHARED_MACHINE_S = 8.0
-        private const val SHARED_ZONE_S = 2.0
+        private const val GPU_WASTE_COST_S = 1000.0
+        private const val IDLE_COST_S = 15.0
+        private const val WRONG_MARKET_COST_S = 5.0
+        private const val SHARED_MACHINE_COST_S = 8.0
+        private const val SHARED_ZONE_COST_S = 2.0
     }
 }
--- a/src/main/kotlin/topazvale/scheduler/CapacityReservation.kt
+++ b/src/main/kotlin/topazvale/scheduler/CapacityReservation.kt
@@ -8,12 +8,12 @@
 import kotlin.time.Instant
 
 /**
- * Capacity kept free for replicas to come: those of a service just submitted, or those of a machine that was lost. A
- * machine takes longer to come up than anybody may wait for a replica, so that what comes in that time has to find
- * room.
+ * Capacity reserved for future replicas: those of a service that has just been submitted, or those lost with a machine.
+ * A machine takes longer to boot than a replica may wait, so the replicas that arrive during a boot need capacity that
+ * is free already.
  *
- * It lies in several zones, each with half of what is needed, so that a spread service, or the loss of a zone, finds it
- * too.
+ * The reservation covers several zones, each with half of the required capacity, so that it also serves a spread
+ * service and survives the loss of a zone.
  */
 internal class CapacityReservation(
     private val load: ServiceLoad,
@@ -21,37 +21,37 @@
     private val candidates: List<Candidate>,
 ) {
     private val spec = load.sampleSpec.copy(oneZone = false, spread = false)
-    private val types = reservedTypes(snapshot.types.values)
+    private val types = suitableTypes(snapshot.types.values)
     private val typeNames = types.mapTo(HashSet()) { it.name }
     private val zones = types.flatMap { it.zones }
         .filter { spec.zone == null || it == spec.zone }
         .distinct()
         .sorted()
-        .take(MOST_ZONES)
-    private val perZone = if (zones.size < 2) wanted() else (wanted() + 1) / 2
-    private val kept = LinkedHashMap<Candidate, Int>()
-    private val missing = LinkedHashMap<String, Int>()
+        .take(MAX_ZONES)
+    private val replicasPerZone = if (zones.size < 2) requiredReplicas() else (requiredReplicas() + 1) / 2
+    private val reserved = LinkedHashMap<Candidate, Int>()
+    private val missingByZone = LinkedHashMap<String, Int>()
 
-    /** The machines on which capacity is reserved: they do not go back. */
-    val hosts: Set<String> get() = kept.keys.mapTo(HashSet()) { it.machine.host }
+    /** The machines on which capacity is reserved: they are not returned. */
+    val hosts: Set<String> get() = reserved.keys.mapTo(HashSet()) { it.machine.host }
 
     /** Whether the reservation is for replicas like those of the job. */
     fun serves(other: JobSpec) =
         other.queue == spec.queue && other.need == spec.need && other.spotAllowed == spec.spotAllowed
 
-    /** Takes from the candidates what is to be reserved, as far as it is free. */
-    fun keep() {
-        for (zone in zones) missing[zone] = keepIn(zone)
+    /** Reserves as much of the required capacity as is free on the candidates. */
+    fun reserve() {
+        for (zone in zones) missingByZone[zone] = reserveInZone(zone)
     }
 
-    /** Gives it back, so that a job to which it is open may be placed. */
+    /** Frees the reserved capacity, so that a job that may use it can be placed. */
     fun release() {
-        for ((candidate, tasks) in kept) candidate.keep(spec, -tasks)
-        kept.clear()
+        for ((candidate, tasks) in reserved) candidate.reserve(spec, -tasks)
+        reserved.clear()
     }
 
-    /** What has to be rented for, zone by zone. */
-    fun missing(now: Instant): List<WaitingJob> = missing.filterValues { it > 0 }.map { (zone, tasks) ->
+    /** The replicas without reserved capacity, one job for each zone, for which machines have to be rented. */
+    fun missingReplicas(now: Instant): List<WaitingJob> = missingByZone.filterValues { it > 0 }.map { (zone, tasks) ->
         WaitingJob(
             spec.copy(zone = zone),
             now,
@@ -64,24 +64,24 @@
         )
     }
 
-    private fun reservedTypes(all: Collection<MachineType>): List<MachineType> {
+    private fun suitableTypes(all: Collection<MachineType>): List<MachineType> {
         val fitting = all.filter { spec.need.fitsIn(it.capacity) && (spec.types == null || it.name in spec.types) }
         return fitting.filter { it.capacity.gpus == 0.0 }.ifEmpty { fitting }
     }
 
-    /** What comes during a boot, and the largest service. */
-    private fun wanted(): Int {
+    /** The replicas that arrive during a boot, and those of the largest service. */
+    private fun requiredReplicas(): Int {
         val boot = types.maxOfOrNull { it.bootTime } ?: Duration.ZERO
-        return ceil(load.replicasPerSecond * boot.toDouble(DurationUnit.SECONDS) * SPARE).toInt() +
+        return ceil(load.replicasPerSecond * boot.toDouble(DurationUnit.SECONDS) * BOOT_TIME_FACTOR).toInt() +
             load.largestReplicaCount
     }
 
-    /** The number of replicas for which nothing is free in the zone. */
-    private fun keepIn(zone: String): Int {
-        var left = perZone
+    /** Returns the number of replicas for which the zone has no free capacity. */
+    private fun reserveInZone(zone: String): Int {
+        var left = replicasPerZone
         for (candidate in candidates) {
             if (left == 0) break
-            if (candidate.machine.market.zone == zone && isSuitable(candidate)) left -= keepOn(candidate, left)
+            if (candidate.machine.market.zone == zone && isSuitable(candidate)) left -= reserveOn(candidate, left)
         }
         return left
     }
@@ -89,18 +89,18 @@
     private fun isSuitable(candidate: Candidate) =
         PlacementRules.allows(spec, candidate.machine) && candidate.machine.type.name in typeNames
 
-    private fun keepOn(candidate: Candidate, most: Int): Int {
-        val tasks = minOf(most, candidate.starts, spec.need.countFittingIn(candidate.free))
+    private fun reserveOn(candidate: Candidate, maxTasks: Int): Int {
+        val tasks = minOf(maxTasks, candidate.startSlots, spec.need.countFittingIn(candidate.free))
         if (tasks <= 0) return 0
-        candidate.keep(spec, tasks)
-        kept[candidate] = tasks
+        candidate.reserve(spec, tasks)
+        reserved[candidate] = tasks
         return tasks
     }
 
     private companion object {
-        const val MOST_ZONES = 3
+        const val MAX_ZONES = 3
 
-        /** Machines often take longer to come up than usual. */
-        const val SPARE = 1.5
+        /** Machines often take longer to boot than usual. */
+        const val BOOT_TIME_FACTOR = 1.5
     }
 }
--- a/src/main/kotlin/topazvale/scheduler/FailedPlacements.kt
+++ b/src/main/kotlin/topazvale/scheduler/FailedPlacements.kt
@@ -3,17 +3,17 @@
 import topazvale.model.JobSpec
 
 /**
- * Jobs for which there was no room in this plan. Room only shrinks while a plan is made, so that another job that asks
- * for as much under the same conditions need not be tried.
+ * Jobs for which this plan had no free capacity. Free capacity only shrinks while a plan is made, so another job that
+ * needs at least as much under the same constraints need not be tried.
  */
 internal class FailedPlacements {
     private class Failure(val spec: JobSpec, val tasks: Int) {
-        fun covers(other: JobSpec, wanted: Int): Boolean {
-            val asksForNoLess = tasks <= wanted && spec.need.fitsIn(other.need)
-            return asksForNoLess && spec.rank >= other.rank && sameConditions(other)
+        fun implies(other: JobSpec, otherTasks: Int): Boolean {
+            val needsAsMuch = tasks <= otherTasks && spec.need.fitsIn(other.need)
+            return needsAsMuch && spec.rank >= other.rank && hasSameConstraints(other)
         }
 
-        private fun sameConditions(other: JobSpec): Boolean {
+        private fun hasSameConstraints(other: JobSpec): Boolean {
             val samePlaces = spec.types == other.types && spec.zone == other.zone && spec.oneZone == other.oneZone
             return samePlaces && spec.spotAllowed == other.spotAllowed
         }
@@ -21,10 +21,10 @@
 
     private val failures = ArrayList<Failure>()
 
-    /** Whether [tasks] tasks of the job are known to find no room. */
-    fun covers(spec: JobSpec, tasks: Int): Boolean = failures.any { it.covers(spec, tasks) }
+    /** Whether an earlier failure implies that [tasks] tasks of the job find no capacity. */
+    fun covers(spec: JobSpec, tasks: Int): Boolean = failures.any { it.implies(spec, tasks) }
 
-    /** So many tasks of the job have found no room. */
+    /** Records that [tasks] tasks of the job found no capacity. */
     fun add(spec: JobSpec, tasks: Int) {
         failures += Failure(spec, tasks)
     }
--- a/src/main/kotlin/topazvale/scheduler/FutureCapacity.kt
+++ b/src/main/kotlin/topazvale/scheduler/FutureCapacity.kt
@@ -8,8 +8,8 @@
 import kotlin.time.Instant
 
 /**
- * Room that is there or will be: what is free now or after a boot, and more as tasks end. Most rooms are never asked
- * when that will be, so that it is worked out only then.
+ * The capacity of a machine over time: what is free now or after its boot, and what its tasks release as they end. For
+ * most machines only the maximum is needed, so the release times are computed on demand.
  */
 internal class FutureCapacity(
     val market: Market,
@@ -17,35 +17,37 @@
     private val free: Resources,
     private val releases: Lazy<List<CapacityRelease>> = lazyOf(emptyList()),
 ) {
-    constructor(m: MachineState, free: Resources) : this(m.market, m.type, free, m.releases)
+    constructor(machine: MachineState, free: Resources) : this(machine.market, machine.type, free, machine.releases)
 
-    private val ends by lazy(LazyThreadSafetyMode.NONE) { releases.value.sortedBy { it.expectedIn } }
+    private val releasesByTime by lazy(LazyThreadSafetyMode.NONE) { releases.value.sortedBy { it.expectedIn } }
 
-    /** What has been free after each ending, the room now first. */
-    private val after by lazy(LazyThreadSafetyMode.NONE) { ends.runningFold(free) { sum, e -> sum + e.need } }
-    private var taken = Resources.NONE
+    /** The free capacity after each release, starting with the capacity that is free now. */
+    private val freeAfterRelease by lazy(LazyThreadSafetyMode.NONE) {
+        releasesByTime.runningFold(free) { sum, release -> sum + release.need }
+    }
+    private var allocated = Resources.NONE
 
-    /** No more than this can ever be free. */
-    val most: Resources get() = type.capacity - taken
+    /** The capacity that remains once all current tasks have ended; no more than this can ever be free. */
+    val maxFree: Resources get() = type.capacity - allocated
 
-    /** What will be free by then, if nothing else is placed. */
-    fun within(horizon: Duration): Resources {
-        var ended = 0
-        while (ended < ends.size && ends[ended].expectedIn <= horizon) ended++
-        return after[ended] - taken
+    /** The capacity that will be free within [horizon] if nothing else is placed. */
+    fun freeWithin(horizon: Duration): Resources {
+        var released = 0
+        while (released < releasesByTime.size && releasesByTime[released].expectedIn <= horizon) released++
+        return freeAfterRelease[released] - allocated
     }
 
-    /** Some of it is planned for. */
-    fun take(room: Resources) {
-        taken += room
+    /** Allocates part of the capacity to waiting work, for which nothing has to be rented then. */
+    fun allocate(resources: Resources) {
+        allocated += resources
     }
 }
 
 /**
- * How soon a machine must become free to be waited for: as soon as a new one could be up, and later where the deadline
- * leaves time, the estimate being trusted by half.
+ * How soon a machine must have free capacity to be worth waiting for: within the boot time of a new machine, or later
+ * if the deadline leaves time. The estimated run time is trusted only by half, so it counts twice.
  */
-internal fun horizon(job: WaitingJob, type: MachineType, now: Instant): Duration {
+internal fun waitHorizon(job: WaitingJob, type: MachineType, now: Instant): Duration {
     val deadline = job.deadline ?: return type.bootTime
     val fetch = (job.spec.imageGb / type.fetchGbPerS).seconds
     return maxOf(type.bootTime, deadline - now - job.estimate * 2 - fetch)
--- a/src/main/kotlin/topazvale/scheduler/JobOrder.kt
+++ b/src/main/kotlin/topazvale/scheduler/JobOrder.kt
@@ -7,83 +7,100 @@
 import kotlin.time.DurationUnit
 import kotlin.time.Instant
 
-/** Decides which jobs go first when there is not room for all. */
+/** Decides which jobs are placed first when there is not enough capacity for all. */
 class JobOrder {
-    /** A job with what it is compared by, worked out once. */
-    private class Ranked(val job: WaitingJob, s: Snapshot) {
-        val starving = isStarving(job, s)
-        val old = job.hasStarted && s.now - job.submitted > STARVATION_THRESHOLD * OLD_PATIENCE
-        val inTurn = starving || old || (job.spec.isGang && job.spec.queue !in s.overloadedQueues)
-        val missed = if (inTurn) 0 else missed(job, s)
-        val work =
-            if (inTurn || !timed(job, s)) 0.0 else job.spec.estimate.toDouble(DurationUnit.SECONDS) * job.pendingTasks
+    /** A job with its sort keys, each computed once. */
+    private class SortableJob(val job: WaitingJob, snapshot: Snapshot) {
+        val isStarving = isStarving(job, snapshot)
+        val isAged = job.hasStarted && snapshot.now - job.submitted > STARVATION_THRESHOLD * AGING_FACTOR
+        val inArrivalOrder =
+            isStarving || isAged || (job.spec.isGang && job.spec.queue !in snapshot.overloadedQueues)
+        val missedObjectives = if (inArrivalOrder) 0 else countMissedObjectives(job, snapshot)
+        val remainingWork =
+            if (inArrivalOrder || !hasTimeTarget(job, snapshot)) {
+                0.0
+            } else {
+                job.spec.estimate.toDouble(DurationUnit.SECONDS) * job.pendingTasks
+            }
     }
 
     /**
-     * Higher ranks first, then what its team is guaranteed. Then those jobs of whose objectives the fewest are missed
-     * by now, and of them the ones with the least left to do: when more is asked than can be done, that keeps most
-     * promises, where first come, first served would make every job late. Gangs take turns until there are too many:
-     * a large one can wait for its room only if the small ones that come later do not take it.
+     * Orders jobs by rank, and within a rank those within their team's guarantee first. Then come the jobs with the
+     * fewest missed objectives, and of these the ones with the least remaining work: under overload this meets the most
+     * objectives, whereas first come, first served would make every job late. Gangs are served in arrival order until
+     * their queue is overloaded: a large gang gets its capacity only if smaller gangs that arrive later do not take it.
      *
-     * That order alone would put the largest jobs back for ever, and lower ranks altogether. A job that has waited for
-     * long and of which nothing has begun goes before all others, until it has begun; one that has begun and has waited
-     * for longer still goes before its own rank only. If it went before others it would take the room that they have
-     * just had it leave, and so on without end.
+     * This order alone would starve the largest jobs, and low ranks altogether. A job that has waited for long without
+     * any start therefore goes before all others until it has started. A job that has started and has waited even
+     * longer goes first only within its own rank: if it went before higher ranks, it would take back the capacity that
+     * they have just gained by preempting it, in an endless cycle.
      */
-    fun sorted(s: Snapshot): List<WaitingJob> = s.jobs.map { Ranked(it, s) }.sortedWith(
-        compareByDescending<Ranked> { it.starving }
+    fun sorted(snapshot: Snapshot): List<WaitingJob> = snapshot.jobs.map { SortableJob(it, snapshot) }.sortedWith(
+        compareByDescending<SortableJob> { it.isStarving }
             .thenByDescending { it.job.spec.rank }
-            .thenByDescending { it.old }
+            .thenByDescending { it.isAged }
             .thenByDescending { it.job.withinGuarantee }
-            .thenBy { it.missed }
-            .thenBy { it.work }
+            .thenBy { it.missedObjectives }
+            .thenBy { it.remainingWork }
             .thenBy { it.job.submitted },
     ).map { it.job }
 
     companion object {
-        /** Less than half of what is the longest anybody should wait for a beginning. */
+        /**
+         * A job without any start counts as starving after this wait, which is less than half of the longest acceptable
+         * wait for a start.
+         */
         val STARVATION_THRESHOLD = 90.seconds
 
         /**
-         * A gang that has begun waits for nothing more. Where there are too many, all that starve go before all that
-         * are new, and the sooner they do, the fewer of the new ones start in time.
+         * The starvation threshold for gangs of an overloaded queue. A gang that has started waits for nothing more.
+         * Starving gangs go before all new ones, so with a lower threshold fewer new gangs of an overloaded queue start
+         * in time.
          */
-        val CROWDED_PATIENCE = 150.seconds
+        val OVERLOADED_STARVATION_THRESHOLD = 150.seconds
 
-        /** A job that has begun goes first in its rank after so many times its patience. */
-        private const val OLD_PATIENCE = 1.5
+        /** A job that has started goes first in its rank after this many times the starvation threshold. */
+        private const val AGING_FACTOR = 1.5
 
-        fun isStarving(job: WaitingJob, s: Snapshot): Boolean {
-            val patience =
-                if (job.spec.isGang && job.spec.queue in s.overloadedQueues) CROWDED_PATIENCE else STARVATION_THRESHOLD
-            return !job.hasStarted && s.now - job.submitted > patience
+        fun isStarving(job: WaitingJob, snapshot: Snapshot): Boolean {
+            val threshold =
+                if (job.spec.isGang && job.spec.queue in snapshot.overloadedQueues) {
+                    OVERLOADED_STARVATION_THRESHOLD
+                } else {
+                    STARVATION_THRESHOLD
+                }
+            return !job.hasStarted && snapshot.now - job.submitted > threshold
         }
 
-        /** Whether its users expect it by some time; among others the first to come is the first to go. */
-        private fun timed(job: WaitingJob, s: Snapshot) = job.deadline != null || job.spec.queue in s.objectives
+        /** Whether the job has a deadline or its queue has objectives; other jobs are served in arrival order. */
+        private fun hasTimeTarget(job: WaitingJob, snapshot: Snapshot) =
+            job.deadline != null || job.spec.queue in snapshot.objectives
 
-        /** How many objectives of its class cannot be met any more; a deadline counts as one where there are none. */
-        private fun missed(job: WaitingJob, s: Snapshot): Int {
-            val objectives =
-                s.objectives[job.spec.queue] ?: return if (latest(job, 1.0)?.let { it < s.now } == true) 1 else 0
-            return objectives.count { o -> latestStart(job, o)?.let { it < s.now } == true }
+        /** How many objectives of its queue the job can no longer meet; without any, its deadline counts as one. */
+        private fun countMissedObjectives(job: WaitingJob, snapshot: Snapshot): Int {
+            val objectives = snapshot.objectives[job.spec.queue]
+                ?: return if (latestStartByDeadline(job, 1.0)?.let { it < snapshot.now } == true) 1 else 0
+            return objectives.count { objective -> latestStart(job, objective)?.let { it < snapshot.now } == true }
         }
 
-        private fun latestStart(job: WaitingJob, o: Objective): Instant? = when (o.kind) {
-            ObjectiveKind.STARTED -> job.submitted + o.within
-            ObjectiveKind.FINISHED -> job.submitted + o.within - job.estimate
-            ObjectiveKind.DEADLINE -> latest(job, o.deadlineFactor)
+        private fun latestStart(job: WaitingJob, objective: Objective): Instant? = when (objective.kind) {
+            ObjectiveKind.STARTED -> job.submitted + objective.within
+            ObjectiveKind.FINISHED -> job.submitted + objective.within - job.estimate
+            ObjectiveKind.DEADLINE -> latestStartByDeadline(job, objective.deadlineFactor)
         }
 
-        /** Whether a job has to start about now to be in time; one without a deadline always has to. */
+        /** Whether a job has to start about now to meet its deadline; always true without a deadline. */
         fun mustStartNow(deadline: Instant?, estimate: Duration, now: Instant) =
-            deadline == null || deadline - now < estimate * MARGIN
+            deadline == null || deadline - now < estimate * ESTIMATE_MARGIN
 
-        /** Run times are known roughly. */
-        private const val MARGIN = 1.25
+        /** Run times are known only roughly. */
+        private const val ESTIMATE_MARGIN = 1.25
 
-        /** When a job has to start to be done within its deadline taken so many times; null where it has none. */
-        private fun latest(job: WaitingJob, times: Double): Instant? =
-            job.deadline?.let { job.submitted + (it - job.submitted) * times - job.estimate }
+        /**
+         * When the job has to start to finish within [deadlineFactor] times the time that it was given until its
+         * deadline; null without a deadline.
+         */
+        private fun latestStartByDeadline(job: WaitingJob, deadlineFactor: Double): Instant? =
+            job.deadline?.let { job.submitted + (it - job.submitted) * deadlineFactor - job.estimate }
     }
 }
--- a/src/main/kotlin/topazvale/scheduler/Placement.kt
+++ b/src/main/kotlin/topazvale/scheduler/Placement.kt
@@ -6,211 +6,221 @@
 import topazvale.model.Start
 import kotlin.time.Duration.Companion.seconds
 
-/** Decides which waiting tasks go to which machines that are up: a pure function of the snapshot. */
+/** Assigns waiting tasks to machines that are up: a pure function of the snapshot. */
 class Placement(private val order: JobOrder = JobOrder()) {
-    /** What to place where, what to stop for it, and what found no room. */
-    fun plan(snapshot: Snapshot): PlacementPlan = PlacementRun(snapshot, order).make()
+    /** Plans which tasks to place where and which to preempt for them; the plan also lists what found no capacity. */
+    fun plan(snapshot: Snapshot): PlacementPlan = PlanningPass(snapshot, order).buildPlan()
 }
 
-/** One plan while it is made: what it gives away is taken from the candidates at once. */
-@Suppress("TooManyFunctions") // The steps of one plan, which share its state.
-private class PlacementRun(private val snapshot: Snapshot, private val order: JobOrder) {
-    private val gpusWanted = snapshot.jobs.any { it.spec.need.gpus > 0.0 }
+/** The state of one planning pass. Capacity that it assigns is taken from the candidates at once. */
+@Suppress("TooManyFunctions") // The steps of one planning pass, which share its state.
+private class PlanningPass(private val snapshot: Snapshot, private val order: JobOrder) {
+    private val gpuWorkWaiting = snapshot.jobs.any { it.spec.need.gpus > 0.0 }
 
-    /** Always the same machines first: those at the end of the row become empty and go back. */
-    private val all = snapshot.machines.filter { it.up }
+    /** In a fixed order, so that the machines at the end become idle and are returned. */
+    private val allCandidates = snapshot.machines.filter { it.up }
         .sortedBy { it.type.price(it.market.spot) }
-        .map { Candidate(it, gpusWanted) }
-
-    /** Candidates that could hold the smallest of what waits. */
-    private val open = ArrayList(all)
-    private val withoutGpus = all.filterTo(ArrayList()) { it.machine.type.capacity.gpus == 0.0 }
-    private val smallest = snapshot.jobs.map { it.spec.need }.reduceOrNull(::lesser) ?: Resources.NONE
-    private val allowance = TeamQuota(snapshot)
+        .map { Candidate(it, gpuWorkWaiting) }
+
+    /** Candidates that may have capacity for the smallest waiting task; full ones are removed during the pass. */
+    private val openCandidates = ArrayList(allCandidates)
+    private val candidatesWithoutGpus =
+        allCandidates.filterTo(ArrayList()) { it.machine.type.capacity.gpus == 0.0 }
+    private val smallestNeed = snapshot.jobs.map { it.spec.need }.reduceOrNull(::minOfEach) ?: Resources.NONE
+    private val teamQuota = TeamQuota(snapshot)
     private val failedOnAll = FailedPlacements()
     private val failedWithoutGpus = FailedPlacements()
     private val failedWithReservations = FailedPlacements()
-    private val imageWaits = ImageWaits(snapshot)
-    private val selection = CandidateSelection(snapshot, imageWaits)
+    private val imageLocality = ImageLocality(snapshot)
+    private val selection = CandidateSelection(snapshot, imageLocality)
     private val preemption = Preemption()
-    private val holds = GangHolds(snapshot)
-    private val reservations = snapshot.services.map { CapacityReservation(it, snapshot, all) }
+    private val gangHolds = GangHolds(snapshot)
+    private val reservations = snapshot.services.map { CapacityReservation(it, snapshot, allCandidates) }
 
-    /** Where tasks of jobs went in this plan whose place binds the rest of them. */
-    private val bindingPicks = HashMap<String, ArrayList<Pick>>()
+    /** By job, the allocations of this plan that restrict where the job's remaining tasks may be placed. */
+    private val bindingAllocations = HashMap<String, ArrayList<TaskAllocation>>()
     private val assignments = ArrayList<Assignment>()
     private val unplaced = ArrayList<WaitingJob>()
     private val preempted = ArrayList<Start>()
 
-    /** Jobs that have left machines with GPUs to others, to be tried on all machines once those have been placed. */
-    private val second = ArrayList<WaitingJob>()
+    /** Jobs that have left machines with GPUs to GPU work; tried on all machines once that work has been placed. */
+    private val deferred = ArrayList<WaitingJob>()
 
     /** Makes the plan; called once. */
-    fun make(): PlacementPlan {
-        reservations.forEach { it.keep() }
+    fun buildPlan(): PlacementPlan {
+        reservations.forEach { it.reserve() }
         for (job in order.sorted(snapshot)) {
-            val allowed = minOf(job.pendingTasks, allowance.tasks(job.spec))
-            val wholly = !job.spec.isGang || allowed == job.pendingTasks
-            if (allowed > 0 && wholly) tryFirst(job, firstShare(job, allowed))
+            val allowed = minOf(job.pendingTasks, teamQuota.allowedTasks(job.spec))
+            val mayStart = !job.spec.isGang || allowed == job.pendingTasks
+            if (allowed > 0 && mayStart) placeFirst(job, initialTasks(job, allowed))
         }
-        val every = ArrayList(all)
-        for (job in second) {
-            holds.release(job)
-            val left = attempt(job, job.pendingTasks, every, failedOnAll)
-            if (left > 0) unplaced += rest(job, left)
+        val deferredCandidates = ArrayList(allCandidates)
+        for (job in deferred) {
+            gangHolds.release(job)
+            val remaining = attempt(job, job.pendingTasks, deferredCandidates, failedOnAll)
+            if (remaining > 0) unplaced += remainder(job, remaining)
         }
-        return plan()
+        return result()
     }
 
-    private fun plan(): PlacementPlan {
-        val changed = all.filter { it.free != it.machine.free }
+    private fun result(): PlacementPlan {
+        val changed = allCandidates.filter { it.free != it.machine.free }
         return PlacementPlan(
             assignments,
             unplaced,
             preempted,
             changed.associate { it.machine.host to it.free + it.held },
-            reservations.flatMap { it.missing(snapshot.now) },
+            reservations.flatMap { it.missingReplicas(snapshot.now) },
             reservations.flatMapTo(HashSet()) { it.hosts },
         )
     }
 
-    private fun tryFirst(job: WaitingJob, tasks: Int) {
+    private fun placeFirst(job: WaitingJob, tasks: Int) {
         val usesGpus = job.spec.need.gpus > 0.0
-        val yields = gpusWanted && !isStarving(job) && !(usesGpus && isPressing(job))
-        val left = when {
-            yields && usesGpus -> tasks
-            else -> tryOpen(job, tasks, yields)
+        val yieldsGpus = gpuWorkWaiting && !isStarving(job) && !(usesGpus && mustStartNow(job))
+        val remaining = when {
+            yieldsGpus && usesGpus -> tasks
+            else -> attemptFirst(job, tasks, yieldsGpus)
         }
-        // What is bought for later needs counts against the limit as well: it could not be used otherwise.
-        allowance.take(job.spec, tasks)
-        if (left > 0) (if (yields) second else unplaced) += rest(job, left)
+        // Tasks without a place count against the quota too: machines rented for them could not be used otherwise.
+        teamQuota.charge(job.spec, tasks)
+        if (remaining > 0) (if (yieldsGpus) deferred else unplaced) += remainder(job, remaining)
     }
 
-    private fun tryOpen(job: WaitingJob, tasks: Int, yields: Boolean): Int {
-        val opened = reservations.filter { if (job.spec.isService) it.serves(job.spec) else waitsTooLong(job) }
+    /** Attempts the job on the candidates that it does not leave to GPU work, with the reservations it may use. */
+    private fun attemptFirst(job: WaitingJob, tasks: Int, yieldsGpus: Boolean): Int {
+        val usable = reservations.filter { if (job.spec.isService) it.serves(job.spec) else mayUseReservations(job) }
         return when {
-            opened.isNotEmpty() -> withReservations(job, tasks, if (yields) withoutGpus else all, opened)
-            yields -> attempt(job, tasks, withoutGpus, failedWithoutGpus)
-            else -> attempt(job, tasks, open, failedOnAll)
+            usable.isNotEmpty() ->
+                attemptWithReservations(job, tasks, if (yieldsGpus) candidatesWithoutGpus else allCandidates, usable)
+
+            yieldsGpus -> attempt(job, tasks, candidatesWithoutGpus, failedWithoutGpus)
+
+            else -> attempt(job, tasks, openCandidates, failedOnAll)
         }
     }
 
-    /** What was found full while capacity was reserved need not be so for those to whom it is open. */
-    private fun withReservations(
+    /** Failures recorded while capacity was reserved do not apply to jobs that may use it, so others are checked. */
+    private fun attemptWithReservations(
         job: WaitingJob,
         tasks: Int,
         candidates: List<Candidate>,
-        opened: List<CapacityReservation>,
+        usable: List<CapacityReservation>,
     ): Int {
-        opened.forEach { it.release() }
+        usable.forEach { it.release() }
         val failed = if (job.spec.isService) FailedPlacements() else failedWithReservations
-        val left = attempt(job, tasks, ArrayList(candidates), failed)
-        opened.forEach { it.keep() }
-        return left
+        val remaining = attempt(job, tasks, ArrayList(candidates), failed)
+        usable.forEach { it.reserve() }
+        return remaining
     }
 
     private fun isStarving(job: WaitingJob) = JobOrder.isStarving(job, snapshot)
 
     /**
-     * Machines with GPUs belong first, whatever its rank, to work that can run nowhere else and has to start now to be
-     * in time. Without that urgent work would have them all, as it always comes first.
+     * GPU work that must start now to meet its deadline gets machines with GPUs first, whatever its rank, as it can run
+     * nowhere else. Otherwise urgent work, which is always placed first, would occupy all of them.
      */
-    private fun isPressing(job: WaitingJob) = JobOrder.mustStartNow(job.deadline, job.estimate, snapshot.now)
+    private fun mustStartNow(job: WaitingJob) = JobOrder.mustStartNow(job.deadline, job.estimate, snapshot.now)
 
-    /** Nobody is to wait for long beside capacity that is reserved for what may come. */
-    private fun waitsTooLong(job: WaitingJob) = !job.hasStarted && snapshot.now - job.submitted > RESERVATION_PATIENCE
+    /** No job waits for long while capacity is reserved for replicas that may never arrive. */
+    private fun mayUseReservations(job: WaitingJob) =
+        !job.hasStarted && snapshot.now - job.submitted > RESERVATION_THRESHOLD
 
-    /** What goes before all others must not take all for itself. */
-    private fun firstShare(job: WaitingJob, tasks: Int): Int =
-        if (job.spec.isGang || !isStarving(job)) tasks else (tasks + FIRST_SHARE_PART - 1) / FIRST_SHARE_PART
+    /** How many tasks to try first: a starving job goes before all others, so it must not take all the capacity. */
+    private fun initialTasks(job: WaitingJob, tasks: Int): Int =
+        if (job.spec.isGang || !isStarving(job)) tasks else (tasks + INITIAL_SHARE_DIVISOR - 1) / INITIAL_SHARE_DIVISOR
 
     /**
-     * What is left of a job, which may be tried again in this plan: what it has just got binds it as much as what it
-     * had before. Without that an array bound to one zone began in two, and a spread one crowded a zone.
+     * The remaining tasks of a job, which may be tried again in this plan. The tasks just placed restrict them as much
+     * as those placed earlier: without that, an array bound to one zone started in two, and a spread job exceeded its
+     * share of a zone.
      */
-    private fun rest(job: WaitingJob, left: Int): WaitingJob {
-        val got = bindingPicks.remove(job.spec.id) ?: return job.copy(pendingTasks = left)
+    private fun remainder(job: WaitingJob, remaining: Int): WaitingJob {
+        val allocations = bindingAllocations.remove(job.spec.id) ?: return job.copy(pendingTasks = remaining)
         val placedByZone = HashMap(job.placedByZone)
         val placedByHost = HashMap(job.placedByHost)
-        for (pick in got) {
-            placedByZone.merge(pick.candidate.machine.market.zone, pick.tasks, Int::plus)
-            placedByHost.merge(pick.candidate.machine.host, pick.tasks, Int::plus)
+        for (allocation in allocations) {
+            placedByZone.merge(allocation.candidate.machine.market.zone, allocation.tasks, Int::plus)
+            placedByHost.merge(allocation.candidate.machine.host, allocation.tasks, Int::plus)
         }
-        return job.copy(pendingTasks = left, placedByZone = placedByZone, placedByHost = placedByHost)
+        return job.copy(pendingTasks = remaining, placedByZone = placedByZone, placedByHost = placedByHost)
     }
 
-    /** The number of tasks for which there is no room, nor will be by what is stopped for them. */
+    /** Returns the number of tasks for which there is no capacity, not even after the planned preemptions. */
     private fun attempt(
         job: WaitingJob,
         tasks: Int,
         candidates: MutableList<Candidate>,
         failed: FailedPlacements,
     ): Int {
-        val least = if (job.spec.isGang) tasks else 1
-        val bound = job.spec.spread || job.placedByZone.isNotEmpty()
-        if (!bound && failed.covers(job.spec, least)) return tasks
-        // For urgent jobs something may still be stopped on a full machine; a starving one comes before them.
+        val minTasks = if (job.spec.isGang) tasks else 1
+        val isZoneBound = job.spec.spread || job.placedByZone.isNotEmpty()
+        if (!isZoneBound && failed.covers(job.spec, minTasks)) return tasks
+        // Urgent jobs may still preempt tasks on a full machine. Starving jobs are tried before urgent ones, so they do
+        // not remove full machines either.
         if (!isStarving(job) && job.spec.rank < Rank.URGENT) candidates.removeAll(::isFull)
-        val left = when {
+        val remaining = when {
             job.spec.rank >= Rank.URGENT -> placeUrgent(job, tasks, candidates)
             else -> tasks - assign(job, selection.select(job, tasks, candidates))
         }
-        if (left > 0 && !bound && !waitsForImageAlone(job, candidates)) failed.add(job.spec, least)
-        if (left > 0 && job.spec.isGang) holds.hold(job, tasks, candidates)
-        return left
+        if (remaining > 0 && !isZoneBound && !waitsOnlyForImage(job, candidates)) failed.add(job.spec, minTasks)
+        if (remaining > 0 && job.spec.isGang) gangHolds.hold(job, tasks, candidates)
+        return remaining
     }
 
-    private fun isFull(candidate: Candidate) = candidate.starts <= 0 || !smallest.fitsIn(candidate.free)
+    private fun isFull(candidate: Candidate) = candidate.startSlots <= 0 || !smallestNeed.fitsIn(candidate.free)
 
-    /** There is room for the like of it, and only this one waits for its image. */
-    private fun waitsForImageAlone(job: WaitingJob, candidates: List<Candidate>) =
-        imageWaits.patient(job) && candidates.any { candidate ->
+    /** Whether there is capacity for similar jobs, and only this job waits for machines that cache its image. */
+    private fun waitsOnlyForImage(job: WaitingJob, candidates: List<Candidate>) =
+        imageLocality.mayWait(job) && candidates.any { candidate ->
             PlacementRules.allows(job.spec, candidate.machine) &&
                 PlacementRules.usableTasks(job.spec, candidate, snapshot.cpusPerGpu) > 0
         }
 
-    private fun assign(job: WaitingJob, picks: List<Pick>): Int {
-        val binding = job.spec.oneZone || job.spec.spread || job.spec.isService
-        for (pick in picks) {
-            pick.candidate.take(job.spec, pick.tasks)
-            if (binding) bindingPicks.getOrPut(job.spec.id) { ArrayList() } += pick
-            assignments += Assignment(job.spec.id, pick.candidate.machine.host, pick.tasks)
+    private fun assign(job: WaitingJob, allocations: List<TaskAllocation>): Int {
+        val isBinding = job.spec.oneZone || job.spec.spread || job.spec.isService
+        for (allocation in allocations) {
+            allocation.candidate.place(job.spec, allocation.tasks)
+            if (isBinding) bindingAllocations.getOrPut(job.spec.id) { ArrayList() } += allocation
+            assignments += Assignment(job.spec.id, allocation.candidate.machine.host, allocation.tasks)
         }
-        return picks.sumOf { it.tasks }
+        return allocations.sumOf { it.tasks }
     }
 
     /**
-     * A long fetch makes a start late: room is made where the image is at hand before any other room is taken. So it is
-     * where the machines are of the right kind: on one with GPUs, work without any keeps several of them idle for as
-     * long as it runs.
+     * A long image fetch delays a start, so an urgent job preempts tasks on machines that cache its image before it
+     * uses free capacity elsewhere. Likewise it preempts tasks on suitable machines before it uses machines with GPUs
+     * that it does not need, where it would keep several GPUs idle for as long as it runs.
      */
     private fun placeUrgent(job: WaitingJob, tasks: Int, candidates: List<Candidate>): Int {
-        val right = candidates.filter { !PlacementRules.misplaced(job.spec, it) }
-        val near = right.filter { it.fetchSeconds(job.spec) <= CandidateSelection.SHORT_FETCH_S }
-        val choices = listOf(near, right, candidates).filter { it.isNotEmpty() }.distinctBy { it.size }
-        return choices.firstNotNullOfOrNull { placeOrClear(job, tasks, it) } ?: tasks
+        val suitable = candidates.filter { !PlacementRules.wastesGpus(job.spec, it) }
+        val withImage = suitable.filter { it.fetchSeconds(job.spec) <= CandidateSelection.SHORT_FETCH_S }
+        val choices = listOf(withImage, suitable, candidates).filter { it.isNotEmpty() }.distinctBy { it.size }
+        return choices.firstNotNullOfOrNull { placeOrPreempt(job, tasks, it) } ?: tasks
     }
 
-    /** The number of tasks left without a place; null where nothing could be done among these candidates. */
-    private fun placeOrClear(job: WaitingJob, tasks: Int, candidates: List<Candidate>): Int? {
-        val picks = selection.select(job, tasks, candidates)
-        val left = tasks - assign(job, picks)
-        if (left == 0) return 0
-        val taken = picks.mapTo(HashSet()) { it.candidate }
-        val stopped = preemption.clear(job, left, candidates.filter { it !in taken })
-        if (stopped != null) {
-            preempted += stopped
+    /** Returns the number of tasks that remain without a place, or null if none could be placed on these candidates. */
+    private fun placeOrPreempt(job: WaitingJob, tasks: Int, candidates: List<Candidate>): Int? {
+        val allocations = selection.select(job, tasks, candidates)
+        val remaining = tasks - assign(job, allocations)
+        if (remaining == 0) return 0
+        val used = allocations.mapTo(HashSet()) { it.candidate }
+        val victims = preemption.preempt(job, remaining, candidates.filter { it !in used })
+        if (victims != null) {
+            preempted += victims
             return 0
         }
-        return left.takeIf { picks.isNotEmpty() }
+        return remaining.takeIf { allocations.isNotEmpty() }
     }
 
     private companion object {
-        fun lesser(a: Resources, b: Resources) =
+        fun minOfEach(a: Resources, b: Resources) =
             Resources(minOf(a.cpus, b.cpus), minOf(a.gpus, b.gpus), minOf(a.memoryGb, b.memoryGb))
 
-        /** A job that goes before all others gets this part of its tasks placed first. */
-        const val FIRST_SHARE_PART = 4
-        val RESERVATION_PATIENCE = 60.seconds
+        /** A starving job first gets its number of tasks divided by this. */
+        const val INITIAL_SHARE_DIVISOR = 4
+
+        /** A job without any start may use capacity reserved for replicas after this wait. */
+        val RESERVATION_THRESHOLD = 60.seconds
     }
 }
--- a/src/main/kotlin/topazvale/scheduler/Provisioner.kt
+++ b/src/main/kotlin/topazvale/scheduler/Provisioner.kt
@@ -5,169 +5,186 @@
 import topazvale.model.Resources
 import kotlin.time.Duration
 
-/** Decides what to rent and what to return. */
-class Provisioner(private val slack: SlackPolicy, private val bids: BidStrategy, private val keep: Duration) {
-    /** Rents for what could not be placed and will not fit into room that is soon there. */
+/** Decides which machines to rent and which to return. */
+class Provisioner(
+    private val slackPolicy: SlackPolicy,
+    private val bidStrategy: BidStrategy,
+    private val idleTimeout: Duration,
+) {
+    /**
+     * Plans rentals for tasks that could not be placed and do not fit into capacity that will be free soon. Skips the
+     * [refused] markets, which had no capacity a short time ago.
+     */
     fun planRentals(
-        s: Snapshot,
+        snapshot: Snapshot,
         placementPlan: PlacementPlan,
         refused: Set<Market>,
-        mostPerRent: Int,
-    ): List<RentalRequest> = Renting(s, placementPlan, refused, mostPerRent).make()
+        maxMachines: Int,
+    ): List<RentalRequest> = RentalPlanning(snapshot, placementPlan, refused, maxMachines).buildRequests()
 
-    private inner class Renting(
-        private val s: Snapshot,
+    private inner class RentalPlanning(
+        private val snapshot: Snapshot,
         private val placementPlan: PlacementPlan,
         private val refused: Set<Market>,
-        private val most: Int,
+        private val maxMachines: Int,
     ) {
-        private val future by lazy(LazyThreadSafetyMode.NONE) {
-            s.machines.mapTo(ArrayList()) { FutureCapacity(it, placementPlan.freeByHost[it.host] ?: it.free) }
+        private val futureCapacity by lazy(LazyThreadSafetyMode.NONE) {
+            snapshot.machines.mapTo(ArrayList()) { FutureCapacity(it, placementPlan.freeByHost[it.host] ?: it.free) }
         }
-        private val rents = LinkedHashMap<Market, Int>()
-        private var rented = 0
+        private val countByMarket = LinkedHashMap<Market, Int>()
+        private var plannedMachines = 0
 
-        fun make(): List<RentalRequest> {
-            // With all capacity rented mostly nothing more can be had, and nothing need be worked out.
-            val wanted = (placementPlan.unplaced + placementPlan.unreservedReplicas).any {
-                affordable(s, it, refused).isNotEmpty()
+        fun buildRequests(): List<RentalRequest> {
+            // When all capacity is rented, most often nothing more can be had, and the computation is skipped.
+            val canRent = (placementPlan.unplaced + placementPlan.unreservedReplicas).any {
+                affordableMarkets(snapshot, it, refused).isNotEmpty()
             }
-            if (!wanted && s.gpuWastingJobs.distinct().none { relief(it) != null }) return emptyList()
+            if (!canRent && snapshot.gpuWastingJobs.distinct().none { cpuOnlyMarket(it) != null }) return emptyList()
             for (job in placementPlan.unplaced) {
-                if (rented >= most) break
-                if (job.spec.oneZone) inOneZone(job) else anywhere(job)
+                if (plannedMachines >= maxMachines) break
+                if (job.spec.oneZone) rentInOneZone(job) else rentInAnyZone(job)
             }
-            for (job in placementPlan.unreservedReplicas) if (rented < most) anywhere(job)
-            for (spec in s.gpuWastingJobs) if (rented < most) relieve(spec)
-            return rents.map { RentalRequest(it.key, it.value) }
+            for (job in placementPlan.unreservedReplicas) if (plannedMachines < maxMachines) rentInAnyZone(job)
+            for (spec in snapshot.gpuWastingJobs) if (plannedMachines < maxMachines) rentReplacement(spec)
+            return countByMarket.map { RentalRequest(it.key, it.value) }
         }
 
-        private fun anywhere(job: WaitingJob) {
-            // Room in a zone that has its share of a spread job already is of no use to it.
+        private fun rentInAnyZone(job: WaitingJob) {
+            // Capacity in a zone that has its share of a spread job already is of no use to the job.
             val inZone = HashMap(job.placedByZone)
-            fun may(zone: String, left: Int) = minOf(left, job.spec.zoneLimit - (inZone[zone] ?: 0))
-            var left = job.pendingTasks
+            fun allowedIn(zone: String, tasks: Int) = minOf(tasks, job.spec.zoneLimit - (inZone[zone] ?: 0))
+            var remaining = job.pendingTasks
             for ((zone, group) in if (job.spec.spread) {
-                fitting(job).groupBy { it.market.zone }
+                suitableCapacity(job).groupBy { it.market.zone }
             } else {
-                mapOf("" to fitting(job))
+                mapOf("" to suitableCapacity(job))
             }) {
-                val found = take(job, may(zone, left).coerceAtLeast(0), group)
-                inZone.merge(zone, found, Int::plus)
-                left -= found
+                val allocated = allocate(job, allowedIn(zone, remaining).coerceAtLeast(0), group)
+                inZone.merge(zone, allocated, Int::plus)
+                remaining -= allocated
             }
-            while (left > 0 && rented < most) {
-                val market = choose(s, job, left, refused) { may(it.zone, left) > 0 } ?: return
-                val found = rent(market, job.spec, may(market.zone, left))
-                if (job.spec.spread) inZone.merge(market.zone, found, Int::plus)
-                left -= found
+            while (remaining > 0 && plannedMachines < maxMachines) {
+                val market =
+                    cheapestMarket(snapshot, job, remaining, refused) { allowedIn(it.zone, remaining) > 0 } ?: return
+                val fitting = rent(market, job.spec, allowedIn(market.zone, remaining))
+                if (job.spec.spread) inZone.merge(market.zone, fitting, Int::plus)
+                remaining -= fitting
             }
         }
 
         /**
-         * Where least has to be rented beside what is coming. A gang that has no such zone takes no room from others.
+         * Rents in the zone where the cost is lowest, given the capacity that will be free there soon. A gang for which
+         * no zone qualifies takes no capacity from other jobs.
          */
-        private fun inOneZone(job: WaitingJob) {
-            val byZone = fitting(job).groupBy { it.market.zone }
-            val markets = affordable(s, job, refused).groupBy { it.zone }
-            val zones = if (job.placedByZone.isEmpty()) byZone.keys + markets.keys else job.placedByZone.keys
-            val counts = zones.associateWith { zone ->
-                byZone[zone].orEmpty().sumOf { fits(job, it) }.coerceAtMost(job.pendingTasks)
+        private fun rentInOneZone(job: WaitingJob) {
+            val capacityByZone = suitableCapacity(job).groupBy { it.market.zone }
+            val marketsByZone = affordableMarkets(snapshot, job, refused).groupBy { it.zone }
+            val zones =
+                if (job.placedByZone.isEmpty()) capacityByZone.keys + marketsByZone.keys else job.placedByZone.keys
+            val soonFreeTasks = zones.associateWith { zone ->
+                capacityByZone[zone].orEmpty().sumOf { fittingTasks(job, it) }.coerceAtMost(job.pendingTasks)
             }
-            val zone = counts.entries.firstOrNull { it.value >= job.pendingTasks }?.key
-                ?: counts.keys.filter { it in markets }.minByOrNull {
-                    price(job, markets.getValue(it)) *
-                        (job.pendingTasks - counts.getValue(it))
+            val zone = soonFreeTasks.entries.firstOrNull { it.value >= job.pendingTasks }?.key
+                ?: soonFreeTasks.keys.filter { it in marketsByZone }.minByOrNull {
+                    lowestPrice(job, marketsByZone.getValue(it)) *
+                        (job.pendingTasks - soonFreeTasks.getValue(it))
                 }
             if (zone == null) return
-            var left = job.pendingTasks - take(job, job.pendingTasks, byZone[zone].orEmpty())
-            if (left == 0) return
-            val market = markets.getValue(zone).minBy { price(job, listOf(it)) }
-            while (left > 0) left -= rent(market, job.spec, left)
+            var remaining = job.pendingTasks - allocate(job, job.pendingTasks, capacityByZone[zone].orEmpty())
+            if (remaining == 0) return
+            val market = marketsByZone.getValue(zone).minBy { lowestPrice(job, listOf(it)) }
+            while (remaining > 0) remaining -= rent(market, job.spec, remaining)
         }
 
-        private fun price(job: WaitingJob, markets: List<Market>) = markets.minOf {
-            perTask(s, job.spec, it, job.pendingTasks)
+        private fun lowestPrice(job: WaitingJob, markets: List<Market>) = markets.minOf {
+            pricePerTask(snapshot, job.spec, it, job.pendingTasks)
         }
 
-        private fun rent(market: Market, spec: JobSpec, wanted: Int): Int {
-            val type = s.types.getValue(market.type)
-            val fits = minOf(wanted, spec.need.countFittingIn(type.capacity))
-            rents.merge(market, 1, Int::plus)
-            rented++
-            future += FutureCapacity(market, type, type.capacity - spec.need * fits)
-            return fits
+        private fun rent(market: Market, spec: JobSpec, tasks: Int): Int {
+            val type = snapshot.types.getValue(market.type)
+            val fitting = minOf(tasks, spec.need.countFittingIn(type.capacity))
+            countByMarket.merge(market, 1, Int::plus)
+            plannedMachines++
+            futureCapacity += FutureCapacity(market, type, type.capacity - spec.need * fitting)
+            return fitting
         }
 
-        private fun fitting(job: WaitingJob) = future.filter {
+        private fun suitableCapacity(job: WaitingJob) = futureCapacity.filter {
             PlacementRules.allows(job.spec, it.market.type, it.market.zone, it.market.spot) &&
-                job.spec.need.fitsIn(it.most)
+                job.spec.need.fitsIn(it.maxFree)
         }
 
-        private fun fits(job: WaitingJob, c: FutureCapacity) =
-            job.spec.need.countFittingIn(c.within(horizon(job, c.type, s.now)))
+        private fun fittingTasks(job: WaitingJob, capacity: FutureCapacity) =
+            job.spec.need.countFittingIn(capacity.freeWithin(waitHorizon(job, capacity.type, snapshot.now)))
 
-        private fun take(job: WaitingJob, wanted: Int, group: List<FutureCapacity>): Int {
-            var left = wanted
-            for (c in group) {
-                if (left == 0) break
-                val count = minOf(left, fits(job, c))
-                if (count > 0) c.take(job.spec.need * count)
-                left -= count
+        private fun allocate(job: WaitingJob, tasks: Int, group: List<FutureCapacity>): Int {
+            var remaining = tasks
+            for (capacity in group) {
+                if (remaining == 0) break
+                val count = minOf(remaining, fittingTasks(job, capacity))
+                if (count > 0) capacity.allocate(job.spec.need * count)
+                remaining -= count
             }
-            return wanted - left
+            return tasks - remaining
         }
 
         /**
-         * Urgent work that had to go to a machine with GPUs keeps that machine from going back. A plain machine is
-         * rented for the work that will come after it, unless one has room.
+         * Urgent work that had to use a machine with GPUs prevents that machine from being returned. A machine without
+         * GPUs is rented for the work that follows it, unless one will have free capacity.
          */
-        private fun relieve(spec: JobSpec) {
-            val room = future.firstOrNull {
-                it.type.capacity.gpus == 0.0 && spec.need.fitsIn(it.within(it.type.bootTime)) &&
+        private fun rentReplacement(spec: JobSpec) {
+            val available = futureCapacity.firstOrNull {
+                it.type.capacity.gpus == 0.0 && spec.need.fitsIn(it.freeWithin(it.type.bootTime)) &&
                     PlacementRules.allows(spec, it.market.type, it.market.zone, it.market.spot)
             }
-            if (room != null) return room.take(spec.need)
-            relief(spec)?.let { rent(it, spec, 1) }
+            if (available != null) return available.allocate(spec.need)
+            cpuOnlyMarket(spec)?.let { rent(it, spec, 1) }
         }
 
-        private fun relief(spec: JobSpec): Market? = markets(s, spec)
-            .filter { it !in refused && s.types.getValue(it.type).capacity.gpus == 0.0 }
-            .minByOrNull { s.types.getValue(it.type).price(it.spot) }
+        private fun cpuOnlyMarket(spec: JobSpec): Market? = allowedMarkets(snapshot, spec)
+            .filter { it !in refused && snapshot.types.getValue(it.type).capacity.gpus == 0.0 }
+            .minByOrNull { snapshot.types.getValue(it.type).price(it.spot) }
     }
 
     /**
-     * Machines that have had nothing to do for as long as one of their price is kept, and no room to keep for replicas.
+     * The hosts that have been idle for their idle timeout, which is longer for cheaper machines. Hosts with capacity
+     * [reserved] for replicas are not returned.
      */
-    fun planReturns(s: Snapshot, reserved: Set<String>): List<String> = s.machines.filter { m ->
-        val times = (s.highestPrice / m.type.price(m.market.spot)).coerceIn(1.0, MOST_KEEPS)
-        m.up && m.host !in reserved && m.idleFor != null && m.idleFor >= keep * times
+    fun planReturns(snapshot: Snapshot, reserved: Set<String>): List<String> = snapshot.machines.filter { machine ->
+        val factor =
+            (snapshot.highestPrice / machine.type.price(machine.market.spot)).coerceIn(1.0, MAX_IDLE_TIMEOUT_FACTOR)
+        machine.up && machine.host !in reserved && machine.idleFor != null && machine.idleFor >= idleTimeout * factor
     }.map { it.host }
 
-    /** The market with the cheapest room per task. */
-    private fun choose(
-        s: Snapshot,
+    /** The market with the lowest price per task. */
+    private fun cheapestMarket(
+        snapshot: Snapshot,
         job: WaitingJob,
-        left: Int,
+        tasks: Int,
         refused: Set<Market>,
-        open: (Market) -> Boolean,
-    ): Market? = affordable(s, job, refused).filter(open).minByOrNull { perTask(s, job.spec, it, left) }
-
-    /** Spot below the bid; steady machines for urgent jobs only. */
-    private fun affordable(s: Snapshot, job: WaitingJob, refused: Set<Market>): List<Market> {
-        val urgent = slack.slack(job, s.now) == Duration.ZERO
-        return markets(s, job.spec).filter { m ->
-            val type = s.types.getValue(m.type)
-            m !in refused && if (m.spot) type.spotPrice < bids.bid(m.type, type.spotPrice, urgent, s.now) else urgent
+        isAllowed: (Market) -> Boolean,
+    ): Market? = affordableMarkets(snapshot, job, refused).filter(isAllowed)
+        .minByOrNull { pricePerTask(snapshot, job.spec, it, tasks) }
+
+    /** Spot markets with a price below the bid; on-demand markets only for urgent jobs. */
+    private fun affordableMarkets(snapshot: Snapshot, job: WaitingJob, refused: Set<Market>): List<Market> {
+        val urgent = slackPolicy.slack(job, snapshot.now) == Duration.ZERO
+        return allowedMarkets(snapshot, job.spec).filter { market ->
+            val type = snapshot.types.getValue(market.type)
+            market !in refused && if (market.spot) {
+                type.spotPrice < bidStrategy.bid(market.type, type.spotPrice, urgent, snapshot.now)
+            } else {
+                urgent
+            }
         }
     }
 
-    private fun perTask(s: Snapshot, spec: JobSpec, market: Market, tasks: Int): Double {
-        val type = s.types.getValue(market.type)
+    private fun pricePerTask(snapshot: Snapshot, spec: JobSpec, market: Market, tasks: Int): Double {
+        val type = snapshot.types.getValue(market.type)
         return type.price(market.spot) / minOf(tasks, spec.need.countFittingIn(type.capacity))
     }
 
-    private fun markets(s: Snapshot, spec: JobSpec): List<Market> = s.types.values
+    private fun allowedMarkets(snapshot: Snapshot, spec: JobSpec): List<Market> = snapshot.types.values
         .filter { spec.need.fitsIn(it.capacity) }
         .flatMap { type ->
             type.zones.flatMap { zone -> listOf(Market(type.name, zone, true), Market(type.name, zone, false)) }
@@ -175,7 +192,10 @@
         .filter { PlacementRules.allows(spec, it.type, it.zone, it.spot) }
 
     private companion object {
-        /** Cheap machines are kept this many times as long as the dearest: warm room costs little there. */
-        const val MOST_KEEPS = 4.0
+        /**
+         * The idle timeout of cheap machines is at most this many times that of the most expensive one: idle capacity
+         * costs little there.
+         */
+        const val MAX_IDLE_TIMEOUT_FACTOR = 4.0
     }
 }
--- a/src/main/kotlin/topazvale/scheduler/Snapshot.kt
+++ b/src/main/kotlin/topazvale/scheduler/Snapshot.kt
@@ -11,7 +11,7 @@
 import kotlin.time.Duration
 import kotlin.time.Instant
 
-/** A job with tasks that are on no machine. */
+/** A job with tasks that are not placed on a machine. */
 data class WaitingJob(
     val spec: JobSpec,
     val submitted: Instant,
@@ -19,7 +19,7 @@
     val pendingTasks: Int,
     /** How many of its tasks are, or may be, in each zone. */
     val placedByZone: Map<String, Int>,
-    /** Some of its tasks are done, or may be on a machine. */
+    /** Whether some of its tasks are done, or may be on a machine. */
     val hasStarted: Boolean,
     val estimate: Duration,
     val withinGuarantee: Boolean,
@@ -28,44 +28,46 @@
 )
 
 /**
- * Services whose replicas need the same: a sample of them, the largest one's replicas, and how many come in a second.
+ * The load of services whose replicas have the same needs: the spec of one of them, the replica count of the largest,
+ * and the number of replicas that are submitted per second.
  */
 data class ServiceLoad(val sampleSpec: JobSpec, val largestReplicaCount: Int, val replicasPerSecond: Double)
 
-/** Something on a machine that will give its room back, by itself or because it is stopped. */
+/** A task on a machine that will release its resources, when it ends or because it is stopped. */
 data class CapacityRelease(
     val start: Start?,
     val need: Resources,
     val expectedIn: Duration,
     val rank: Rank = Rank.NORMAL,
-    /** The work that stopping it now would lose; null where it must not be stopped for others. */
+    /** The work that preempting the task now would lose; null if it must not be preempted. */
     val lostWork: Duration? = null,
-    /** It has been told to stop. */
+    /** Whether the task has been ordered to stop. */
     val stopping: Boolean = false,
-    /** Its job has to start about now to be in time. */
+    /** Whether its job has to start about now to meet its deadline. */
     val mustStartNow: Boolean = false,
 )
 
-/** A machine that is up or booting, with what is free on it. */
+/** A machine that is up or booting, with its free capacity. */
 data class MachineState(
     val host: String,
     val market: Market,
     val type: MachineType,
     val free: Resources,
-    /** Further starts it has space for in its reports. */
+    /** How many more starts the machine's reports have space for. */
     val startSlots: Int,
     val up: Boolean,
-    /** For a machine that is not up yet: when it should be. */
+    /** The expected time until the machine is up; zero if it is. */
     val readyIn: Duration,
     val images: Set<String>,
-    /** Those of the images that are still on their way, with their gigabytes. */
+    /** Those of the images that are still being fetched, with their sizes in gigabytes. */
     val fetchingImages: Map<String, Double>,
-    /** Worked out only where somebody asks. */
+    /** Computed on demand. */
     val releases: Lazy<List<CapacityRelease>>,
+    /** How long the machine has had no tasks; null while it has any. */
     val idleFor: Duration?,
 )
 
-/** All that the scheduler looks at. */
+/** The whole input of the scheduler. */
 data class Snapshot(
     val now: Instant,
     val jobs: List<WaitingJob>,
@@ -73,50 +75,50 @@
     val types: Map<String, MachineType>,
     val teams: Map<String, Team>,
     val usage: Map<String, Resources>,
-    /** What the users of each class expect. */
+    /** The objectives of each queue. */
     val objectives: Map<String, List<Objective>> = emptyMap(),
-    /** The processors that the work with GPUs takes for each of them. */
+    /** The CPUs that work with GPUs needs for each GPU. */
     val cpusPerGpu: Double,
     /** How many tasks run with each image. */
     val runningByImage: Map<String, Int> = emptyMap(),
-    /** How many tasks of each class have a place. */
+    /** How many tasks of each queue are placed. */
     val placedByQueue: Map<String, Int> = emptyMap(),
-    /** Urgent work without GPUs that runs on machines with them, as there was no other room. */
+    /** Urgent work without GPUs that runs on machines with GPUs because no other capacity was free. */
     val gpuWastingJobs: List<JobSpec> = emptyList(),
     val services: List<ServiceLoad> = emptyList(),
-    /** Whether [usage] holds all that is on machines; otherwise any team may use more than it says. */
+    /** Whether [usage] covers everything on the machines; otherwise any team may use more than it says. */
     val usageComplete: Boolean = true,
 ) {
-    /** The price of the dearest machine there is. */
+    /** The highest on-demand price of all machine types. */
     val highestPrice: Double = types.values.maxOfOrNull { it.price } ?: 0.0
 
-    /** Classes of which so much waits, beside what has a place, that not all can start in time. */
+    /** Queues with so many waiting tasks, compared with the placed ones, that not all can start in time. */
     val overloadedQueues: Set<String> by lazy(LazyThreadSafetyMode.NONE) {
         val waiting = jobs.groupingBy { it.spec.queue }.fold(0) { sum, job -> sum + job.pendingTasks }
-        waiting.filter { (queue, tasks) -> tasks > (placedByQueue[queue] ?: 0) * CROWDED }.keys
+        waiting.filter { (queue, tasks) -> tasks > (placedByQueue[queue] ?: 0) * OVERLOAD_RATIO }.keys
     }
 
     private companion object {
-        const val CROWDED = 0.5
+        const val OVERLOAD_RATIO = 0.5
     }
 }
 
-/** So many tasks of a job for a machine. */
+/** Assigns a number of tasks of a job to a machine. */
 data class Assignment(val job: String, val host: String, val tasks: Int)
 
-/** What one placement decided. */
+/** The result of one planning pass. */
 data class PlacementPlan(
     val assignments: List<Assignment>,
     val unplaced: List<WaitingJob>,
-    /** What has to stop so that jobs of higher rank get its room. */
+    /** Tasks that have to stop so that jobs of higher rank get their capacity. */
     val preempted: List<Start> = emptyList(),
-    /** What is left free, by host, on machines that are up. */
+    /** The free capacity that remains on machines that are up, where the plan changed it. */
     val freeByHost: Map<String, Resources> = emptyMap(),
-    /** Replicas for which no room is kept yet, by sample. */
+    /** Future replicas for which no capacity is reserved yet, as jobs like the sample of their services. */
     val unreservedReplicas: List<WaitingJob> = emptyList(),
-    /** Machines on which room is kept for replicas to come. */
+    /** Machines on which capacity is reserved for future replicas. */
     val reservedHosts: Set<String> = emptySet(),
 )
 
-/** So many machines of a market. */
+/** A number of machines to rent in a market. */
 data class RentalRequest(val market: Market, val count: Int)
--- a/src/main/kotlin/topazvale/scheduler/TeamQuota.kt
+++ b/src/main/kotlin/topazvale/scheduler/TeamQuota.kt
@@ -4,19 +4,22 @@
 import topazvale.model.Resources
 import topazvale.model.Team
 
-/** What each team may still use under its limit, while a plan is made. */
+/** The resources that each team may still use under its limit, updated while a plan is made. */
 internal class TeamQuota(private val snapshot: Snapshot) {
-    private val left = snapshot.teams.mapValues { (name, team) -> unused(name, team) }.toMutableMap()
+    private val remaining = snapshot.teams.mapValues { (name, team) -> unused(name, team) }.toMutableMap()
 
     /** How many tasks of the job its team may still start. */
-    fun tasks(spec: JobSpec): Int = left[spec.team]?.let(spec.need::countFittingIn) ?: 0
+    fun allowedTasks(spec: JobSpec): Int = remaining[spec.team]?.let(spec.need::countFittingIn) ?: 0
 
-    /** Counts tasks of the job against its team. */
-    fun take(spec: JobSpec, tasks: Int) {
-        left[spec.team] = left.getValue(spec.team) - spec.need * tasks
+    /** Charges tasks of the job to its team. */
+    fun charge(spec: JobSpec, tasks: Int) {
+        remaining[spec.team] = remaining.getValue(spec.team) - spec.need * tasks
     }
 
-    /** What runs beside the known usage may be any team's: until it is gone, no team that has a limit gets more. */
+    /**
+     * While the snapshot's usage is incomplete, the tasks missing from it may belong to any team. Until they are gone,
+     * no team that has a limit may start more tasks.
+     */
     private fun unused(name: String, team: Team): Resources {
         val limited = team.limitCpus != null || team.limitGpus != null
         if (limited && !snapshot.usageComplete) return Resources.NONE
--- a/src/test/kotlin/topazvale/scheduler/JobOrderTest.kt
+++ b/src/test/kotlin/topazvale/scheduler/JobOrderTest.kt
@@ -10,10 +10,10 @@
 import topazvale.model.Rank
 import kotlin.time.Duration.Companion.seconds
 
-/** Which jobs go first when there is not room for all. */
+/** Which jobs are placed first when there is not enough capacity for all. */
 class JobOrderTest {
     @Test
-    fun `jobs that can still be in time come first, the shortest before the others`() {
+    fun `jobs that can still meet their deadline come first, those with the least work before the others`() {
         fun job(id: String, due: Int, tasks: Int) =
             waiting(Samples.array.copy(id = id, tasks = tasks), deadline = due.seconds)
 
@@ -22,18 +22,18 @@
         assertEquals(listOf("job-short", "job-long", "job-late"), order)
     }
 
-    /** First come, first served makes every job late once more is asked than can be done. */
+    /** Under overload, first come, first served would make every job late. */
     @Test
-    fun `jobs that can still keep an objective come before those that have missed it, the smallest first`() {
+    fun `jobs that can still meet an objective come before those that have missed it, the smallest first`() {
         fun job(id: String, waited: Int, tasks: Int) =
             waiting(Samples.gang.copy(id = id, tasks = tasks)).copy(submitted = Samples.now - waited.seconds)
 
-        val expected = listOf(5, 50).map { Objective(Samples.gang.queue, ObjectiveKind.STARTED, it.seconds, 1.0) }
+        val objectives = listOf(5, 50).map { Objective(Samples.gang.queue, ObjectiveKind.STARTED, it.seconds, 1.0) }
         val jobs =
             listOf(job("job-missed", 60, 1), job("job-late", 20, 2), job("job-large", 2, 8), job("job-small", 1, 2))
         fun order(jobs: List<WaitingJob>, placed: Int) = JobOrder().sorted(
             snapshot(jobs, emptyList()).copy(
-                objectives = mapOf(Samples.gang.queue to expected),
+                objectives = mapOf(Samples.gang.queue to objectives),
                 placedByQueue = mapOf(Samples.gang.queue to placed),
             ),
         ).map { it.spec.id }
@@ -41,26 +41,26 @@
         assertEquals(
             listOf("job-missed", "job-late", "job-large", "job-small"),
             order(jobs, placed = 200),
-            "few wait: in turn",
+            "few wait: in arrival order",
         )
         val starving = job("job-starving", 151, 8)
-        assertEquals("job-starving", order(jobs + starving, placed = 20).first(), "but not for ever")
+        assertEquals("job-starving", order(jobs + starving, placed = 20).first(), "a starving gang goes first")
     }
 
     @Test
-    fun `a job of which nothing has begun goes first after long, one that has begun only in its rank`() {
-        fun job(id: String, waited: Int, tasks: Int, begun: Boolean = false, rank: Rank = Rank.NORMAL) =
+    fun `a starving job without any start goes before all others, an aged one that has started only in its rank`() {
+        fun job(id: String, waited: Int, tasks: Int, hasStarted: Boolean = false, rank: Rank = Rank.NORMAL) =
             waiting(Samples.array.copy(id = id, tasks = tasks, rank = rank), deadline = 600.seconds)
-                .copy(submitted = Samples.now - waited.seconds, hasStarted = begun)
+                .copy(submitted = Samples.now - waited.seconds, hasStarted = hasStarted)
         val jobs = listOf(
             job("job-small", 5, 1),
-            job("job-begun", 130, 50, begun = true),
+            job("job-started", 130, 50, hasStarted = true),
             job("job-large", 100, 100),
             job("job-larger", 120, 200),
-            job("job-old", 190, 300, begun = true),
+            job("job-aged", 190, 300, hasStarted = true),
             job("job-urgent", 1, 1, rank = Rank.URGENT),
         )
         val order = JobOrder().sorted(snapshot(jobs, emptyList())).map { it.spec.id }
-        assertEquals(listOf("job-larger", "job-large", "job-urgent", "job-old", "job-small", "job-begun"), order)
+        assertEquals(listOf("job-larger", "job-large", "job-urgent", "job-aged", "job-small", "job-started"), order)
     }
 }
--- a/src/test/kotlin/topazvale/scheduler/PlacementTest.kt
+++ b/src/test/kotlin/topazvale/scheduler/PlacementTest.kt
@@ -11,10 +11,10 @@
 import kotlin.time.Duration.Companion.minutes
 import kotlin.time.Duration.Companion.seconds
 
-/** Which machines tasks go to. */
+/** Which machines the tasks of a job are placed on. */
 class PlacementTest {
     @Test
-    fun `a start breaks no rule of its job`() {
+    fun `a placement violates no constraint of its job or team`() {
         data class Case(
             val name: String,
             val job: WaitingJob,
@@ -26,27 +26,27 @@
         val gpu = machine("n-1", Samples.gpu)
         val spotGpu = machine("n-1", Samples.gpu, spot = true)
 
-        fun begun(spec: JobSpec, zone: String) = waiting(spec, pendingTasks = 3, placedByZone = mapOf(zone to 1))
+        fun started(spec: JobSpec, zone: String) = waiting(spec, pendingTasks = 3, placedByZone = mapOf(zone to 1))
         val cases = listOf(
             Case("fits", waiting(array), gpu, Resources.NONE, 4),
-            Case("limit of the team", waiting(array), gpu, Resources(30.0, 6.0, 0.0), 2),
-            Case("limit used up", waiting(array), gpu, Resources(30.0, 8.0, 0.0), 0),
-            Case("type", waiting(array.copy(types = listOf("plain"))), gpu, Resources.NONE, 0),
-            Case("zone", waiting(array.copy(zone = "b")), gpu, Resources.NONE, 0),
+            Case("team limit", waiting(array), gpu, Resources(30.0, 6.0, 0.0), 2),
+            Case("team limit used up", waiting(array), gpu, Resources(30.0, 8.0, 0.0), 0),
+            Case("other machine type", waiting(array.copy(types = listOf("plain"))), gpu, Resources.NONE, 0),
+            Case("other zone", waiting(array.copy(zone = "b")), gpu, Resources.NONE, 0),
             Case("no spot", waiting(array.copy(spotAllowed = false)), spotGpu, Resources.NONE, 0),
             Case("spread", waiting(array.copy(spread = true)), gpu, Resources.NONE, 2),
-            Case("spread, some placed", begun(array.copy(spread = true), "a"), gpu, Resources.NONE, 1),
-            Case("one zone, begun elsewhere", begun(array.copy(oneZone = true), "b"), gpu, Resources.NONE, 0),
+            Case("spread, some placed", started(array.copy(spread = true), "a"), gpu, Resources.NONE, 1),
+            Case("one zone, started in another", started(array.copy(oneZone = true), "b"), gpu, Resources.NONE, 0),
             Case("machine not up", waiting(array), machine("n-1", Samples.gpu, up = false), Resources.NONE, 0),
         )
-        for (c in cases) {
-            val plan = placement.plan(snapshot(listOf(c.job), listOf(c.machine), mapOf("red" to c.usage)))
-            assertEquals(c.placed, plan.assignments.sumOf { it.tasks }, c.name)
+        for (case in cases) {
+            val plan = placement.plan(snapshot(listOf(case.job), listOf(case.machine), mapOf("red" to case.usage)))
+            assertEquals(case.placed, plan.assignments.sumOf { it.tasks }, case.name)
         }
     }
 
     @Test
-    fun `while something runs of which no team is known, teams that have a limit get no more`() {
+    fun `while the usage is incomplete, teams that have a limit start no more tasks`() {
         val unlimited = Samples.teams.getValue("red").copy(name = "green", limitCpus = null, limitGpus = null)
         val jobs = listOf("red", "green").map { waiting(Samples.array.copy(tasks = 1, id = "job-$it", team = it)) }
         val snapshot = snapshot(jobs, listOf(machine("n-1", Samples.gpu))).copy(
@@ -60,67 +60,67 @@
     }
 
     @Test
-    fun `higher ranks come first and images in the cache are used`() {
+    fun `higher ranks come first and machines that cache the image are preferred`() {
         val normal = waiting(Samples.array.copy(need = Resources(16.0, 0.0, 20.0), tasks = 1, team = "red"))
         val urgent = waiting(Samples.gang.copy(tasks = 1, need = Resources(16.0, 0.0, 20.0)))
         val plan = placement.plan(snapshot(listOf(normal, urgent), listOf(machine("n-1"))))
         assertEquals(listOf(Assignment("job-2", "n-1", 1)), plan.assignments)
 
         val cached = machine("n-2").copy(images = setOf("img"))
-        val one = placement.plan(snapshot(listOf(urgent), listOf(machine("n-1"), cached)))
-        assertEquals("n-2", one.assignments.single().host)
+        val cachedPlan = placement.plan(snapshot(listOf(urgent), listOf(machine("n-1"), cached)))
+        assertEquals("n-2", cachedPlan.assignments.single().host)
     }
 
     @Test
-    fun `images that are fetched at the same time share the rate`() {
-        // gigabytes on their way to n-1, whether n-2 is fetching the very image, the machine taken
+    fun `concurrent image fetches share the fetch rate`() {
+        // gigabytes that n-1 fetches, gigabytes that n-2 fetches, the chosen machine; the job needs the image img
         val cases = listOf(
             Triple(emptyMap(), emptyMap(), "n-1"),
             Triple(mapOf("other" to 3.0), emptyMap(), "n-2"),
             Triple(emptyMap(), mapOf("img" to 1.0, "other" to 3.0), "n-1"),
             Triple(mapOf("other" to 4.0), mapOf("img" to 1.0, "other" to 3.0), "n-2"),
         )
-        for ((first, second, taken) in cases) {
-            fun busy(host: String, arriving: Map<String, Double>) =
-                machine(host).copy(images = arriving.keys, fetchingImages = arriving)
+        for ((first, second, chosen) in cases) {
+            fun busy(host: String, fetching: Map<String, Double>) =
+                machine(host).copy(images = fetching.keys, fetchingImages = fetching)
 
             val job = waiting(Samples.gang.copy(tasks = 1))
             val plan = placement.plan(snapshot(listOf(job), listOf(busy("n-1", first), busy("n-2", second))))
-            assertEquals(taken, plan.assignments.single().host, "$first, $second")
+            assertEquals(chosen, plan.assignments.single().host, "$first, $second")
         }
     }
 
-    /** Each job took the next free machine and fetched there, until all machines fetched and few ran anything. */
+    /** When each job fetched its image on the next free machine, all machines were fetching and few ran tasks. */
     @Test
-    fun `ordinary work waits for machines that have its image, if enough of them will soon be free`() {
+    fun `ordinary work waits for machines that cache its image, if enough of them will be free soon`() {
         data class Case(
             val name: String,
             val running: Int,
-            val arriving: Map<String, Double>,
+            val fetching: Map<String, Double>,
             val waited: Int,
             val placed: Int,
         )
         val cases = listOf(
             Case("nothing runs with the image", 0, emptyMap(), 1, 4),
-            Case("half as much runs", 2, emptyMap(), 1, 2),
-            Case("as much runs", 4, emptyMap(), 1, 0),
+            Case("half as many tasks run with it", 2, emptyMap(), 1, 2),
+            Case("as many tasks run with it", 4, emptyMap(), 1, 0),
             Case("another image is being fetched", 0, mapOf("other" to 5.0), 1, 0),
-            Case("it is being fetched", 4, mapOf("img" to 0.1), 1, 4),
-            Case("it starves", 4, mapOf("other" to 5.0), 100, 1),
+            Case("the image is being fetched", 4, mapOf("img" to 0.1), 1, 4),
+            Case("the job starves", 4, mapOf("other" to 5.0), 100, 1),
         )
-        for (c in cases) {
-            val job = waiting(Samples.array.copy(imageGb = 5.0)).copy(submitted = Samples.now - c.waited.seconds)
-            val free = machine("n-1", Samples.gpu).copy(fetchingImages = c.arriving)
+        for (case in cases) {
+            val job = waiting(Samples.array.copy(imageGb = 5.0)).copy(submitted = Samples.now - case.waited.seconds)
+            val free = machine("n-1", Samples.gpu).copy(fetchingImages = case.fetching)
             val plan = placement.plan(
-                snapshot(listOf(job), listOf(free)).copy(runningByImage = mapOf("img" to c.running)),
+                snapshot(listOf(job), listOf(free)).copy(runningByImage = mapOf("img" to case.running)),
             )
-            assertEquals(c.placed, plan.assignments.sumOf { it.tasks }, c.name)
+            assertEquals(case.placed, plan.assignments.sumOf { it.tasks }, case.name)
         }
     }
 
-    /** Urgent gangs without GPUs had all machines with GPUs while arrays with GPUs waited for minutes. */
+    /** Urgent gangs without GPUs occupied all machines with GPUs while arrays that need GPUs waited for minutes. */
     @Test
-    fun `machines with GPUs belong first to work that needs them`() {
+    fun `machines with GPUs go first to work that needs them and must start now`() {
         val gang = waiting(Samples.gang.copy(tasks = 2))
         val array = waiting(Samples.array.copy(id = "job-8", tasks = 4, need = Resources(6.0, 1.0, 24.0)))
         val plan = placement.plan(
@@ -130,26 +130,26 @@
             mapOf("job-8" to 4),
             plan.assignments.groupBy {
                 it.job
-            }.mapValues { (_, a) -> a.sumOf { it.tasks } },
+            }.mapValues { (_, assignments) -> assignments.sumOf { it.tasks } },
         )
-        val early = array.copy(deadline = Samples.now + 300.seconds)
-        val easy = placement.plan(
-            snapshot(listOf(gang, early), listOf(machine("n-1", Samples.gpu), machine("n-2", Samples.gpu))),
+        val notUrgent = array.copy(deadline = Samples.now + 300.seconds)
+        val waitingPlan = placement.plan(
+            snapshot(listOf(gang, notUrgent), listOf(machine("n-1", Samples.gpu), machine("n-2", Samples.gpu))),
         )
         assertEquals(
             2,
-            easy.assignments.filter {
+            waitingPlan.assignments.filter {
                 it.job == "job-2"
             }.sumOf { it.tasks },
-            "while it would be in time all the same it waits",
+            "GPU work that can still meet its deadline later waits",
         )
         val plain = (3..4).map { machine("n-$it") }
-        val more = placement.plan(snapshot(listOf(gang, array), listOf(machine("n-1", Samples.gpu)) + plain))
-        assertEquals(setOf("n-3", "n-4"), more.assignments.filter { it.job == "job-2" }.map { it.host }.toSet())
+        val plainPlan = placement.plan(snapshot(listOf(gang, array), listOf(machine("n-1", Samples.gpu)) + plain))
+        assertEquals(setOf("n-3", "n-4"), plainPlan.assignments.filter { it.job == "job-2" }.map { it.host }.toSet())
     }
 
     @Test
-    fun `a starving job gets a first share of its tasks, not everything`() {
+    fun `a starving job first gets a quarter of its tasks placed, not all`() {
         val large = waiting(Samples.array.copy(tasks = 40, need = Resources(2.0, 0.0, 4.0)))
         val machines = (1..10).map { machine("n-$it") }
         assertEquals(40, placement.plan(snapshot(listOf(large), machines)).assignments.sumOf { it.tasks })
@@ -158,14 +158,14 @@
     }
 
     @Test
-    fun `work without GPUs leaves the processors that free GPUs will want`() {
+    fun `work without GPUs leaves the CPUs that free GPUs will need`() {
         val cpuOnly = Samples.array.copy(need = Resources(2.0, 0.0, 4.0), tasks = 100)
         val plan = placement.plan(snapshot(listOf(waiting(cpuOnly)), listOf(machine("n-1", Samples.gpu))))
-        assertEquals(2, plan.assignments.sumOf { it.tasks }, "24 processors, 4 GPUs that want 5 each")
+        assertEquals(2, plan.assignments.sumOf { it.tasks }, "24 CPUs, 4 GPUs that need 5 each")
     }
 
     @Test
-    fun `the rest of a job is bound by what it got a moment ago in the same plan`() {
+    fun `the remaining tasks of a job are restricted by its allocations in the same plan`() {
         val gpuWork =
             waiting(
                 Samples.array.copy(id = "job-8", need = Resources(1.0, 1.0, 1.0), tasks = 1, types = listOf("none")),
@@ -173,11 +173,11 @@
         val array = Samples.array.copy(need = Resources(5.0, 0.0, 5.0), tasks = 6)
         data class Case(val name: String, val job: WaitingJob, val gpuZone: String, val placed: Int)
         val cases = listOf(
-            Case("free", waiting(array), "a", 6),
+            Case("no restriction", waiting(array), "a", 6),
             Case("spread, all in one zone", waiting(array.copy(spread = true)), "a", 3),
             Case("spread over two zones", waiting(array.copy(spread = true)), "b", 6),
             Case("bound to one zone", waiting(array.copy(oneZone = true)), "b", 3),
-            Case("bound to one zone, room there", waiting(array.copy(oneZone = true)), "a", 6),
+            Case("bound to one zone, capacity there", waiting(array.copy(oneZone = true)), "a", 6),
             Case(
                 "a spread service",
                 waiting(Samples.service.copy(tasks = 6, need = array.need, spotAllowed = true)),
@@ -185,12 +185,16 @@
                 3,
             ),
         )
-        for (c in cases) {
-            val machines = listOf(machine("n-1"), machine("n-2", Samples.gpu, zone = c.gpuZone))
+        for (case in cases) {
+            val machines = listOf(machine("n-1"), machine("n-2", Samples.gpu, zone = case.gpuZone))
             val plan = placement.plan(
-                snapshot(listOf(gpuWork, c.job.copy(estimate = 20.seconds)), machines).copy(cpusPerGpu = 0.0),
+                snapshot(listOf(gpuWork, case.job.copy(estimate = 20.seconds)), machines).copy(cpusPerGpu = 0.0),
+            )
+            assertEquals(
+                case.placed,
+                plan.assignments.filter { it.job == case.job.spec.id }.sumOf { it.tasks },
+                case.name,
             )
-            assertEquals(c.placed, plan.assignments.filter { it.job == c.job.spec.id }.sumOf { it.tasks }, c.name)
         }
     }
 }
--- a/src/test/kotlin/topazvale/scheduler/ProvisionerTest.kt
+++ b/src/test/kotlin/topazvale/scheduler/ProvisionerTest.kt
@@ -13,11 +13,11 @@
 import kotlin.time.Duration.Companion.minutes
 import kotlin.time.Duration.Companion.seconds
 
-/** What is rented, and what goes back. */
+/** Which machines are rented and which are returned. */
 class ProvisionerTest {
     @Test
-    fun `while slack lasts only spot below the bid is rented`() {
-        val dear = WindowMinimumBid(10.minutes, 0.001).also {
+    fun `a job with slack rents only spot machines below the bid`() {
+        val priceAboveBid = WindowMinimumBid(10.minutes, 0.001).also {
             it.recordPrice("plain", 0.3, Samples.now)
             it.recordPrice("gpu", 1.0, Samples.now)
         }
@@ -28,54 +28,50 @@
             val bids: BidStrategy,
             val spot: Boolean?,
         )
-        val even = WindowMinimumBid(10.minutes, 0.001)
+        val priceAtLowest = WindowMinimumBid(10.minutes, 0.001)
         val cases = listOf(
-            Case("slack, price at its lowest", 600, true, even, true),
-            Case("slack, price above the bid", 600, true, dear, null),
-            Case("no slack, price above", 60, true, dear, true),
-            Case("slack, spot not allowed", 600, false, even, null),
-            Case("no slack, spot not allowed", 60, false, even, false),
+            Case("slack, price at its lowest", 600, true, priceAtLowest, true),
+            Case("slack, price above the bid", 600, true, priceAboveBid, null),
+            Case("no slack, price above the bid", 60, true, priceAboveBid, true),
+            Case("slack, spot not allowed", 600, false, priceAtLowest, null),
+            Case("no slack, spot not allowed", 60, false, priceAtLowest, false),
         )
-        for (c in cases) {
-            val job = waiting(Samples.array.copy(spotAllowed = c.spotAllowed), deadline = c.due.seconds)
-            val rents = rents(snapshot(listOf(job), emptyList()), job, c.bids)
-            assertEquals(c.spot, rents.firstOrNull()?.market?.spot, c.name)
+        for (case in cases) {
+            val job = waiting(Samples.array.copy(spotAllowed = case.spotAllowed), deadline = case.due.seconds)
+            val requests = planRentals(snapshot(listOf(job), emptyList()), job, case.bids)
+            assertEquals(case.spot, requests.firstOrNull()?.market?.spot, case.name)
         }
     }
 
     @Test
-    fun `steady machines cover spot shortfalls`() {
+    fun `on-demand machines are rented when spot capacity runs out`() {
         val job = waiting(Samples.gang)
-        val s = snapshot(listOf(job), emptyList())
+        val snapshot = snapshot(listOf(job), emptyList())
         val refused = HashSet<Market>()
         val order = generateSequence {
-            provisioner().planRentals(s, PlacementPlan(emptyList(), listOf(job)), refused, 10).firstOrNull()?.also {
-                refused +=
-                    it.market
-            }
+            provisioner().planRentals(snapshot, PlacementPlan(emptyList(), listOf(job)), refused, 10)
+                .firstOrNull()
+                ?.also { refused += it.market }
         }.toList()
         assertEquals(
             listOf("plain" to true, "plain" to true, "plain" to false, "plain" to false),
-            order.take(4).map {
-                it.market.type to
-                    it.market.spot
-            },
+            order.take(4).map { it.market.type to it.market.spot },
         )
-        assertEquals(2, order.first().count, "a gang is rented whole in one market")
+        assertEquals(2, order.first().count, "all machines of a gang are rented in one market")
     }
 
     @Test
-    fun `capacity that will be free is not rented twice`() {
+    fun `no machine is rented for work that fits into capacity free soon`() {
         val job = waiting(Samples.gang.copy(tasks = 1))
         val booting = machine("n-1", up = false)
-        val release = soonFree("n-2", 5.seconds)
-        for (m in listOf(booting, release)) {
-            assertTrue(rents(snapshot(listOf(job), listOf(m)), job).isEmpty(), m.host)
+        val busy = soonFree("n-2", 5.seconds)
+        for (machine in listOf(booting, busy)) {
+            assertTrue(planRentals(snapshot(listOf(job), listOf(machine)), job).isEmpty(), machine.host)
         }
     }
 
     @Test
-    fun `how soon a machine must be free to be waited for depends on the deadline`() {
+    fun `how long a job waits for a machine to be free instead of renting one depends on its deadline`() {
         // deadline, seconds until the machine is free, rented; the estimate is 20 s, the fetch 2 s, a boot 30 s
         val cases =
             listOf(Triple(null, 29, 0), Triple(null, 31, 1), Triple(100, 57, 0), Triple(100, 59, 1), Triple(10, 29, 0))
@@ -83,21 +79,22 @@
             val job =
                 waiting(Samples.array.copy(tasks = 1, need = Resources(5.0, 0.0, 5.0)), deadline = deadline?.seconds)
             val busy = soonFree("n-1", free.seconds)
-            val rents = rents(snapshot(listOf(job), listOf(busy)), job)
-            assertEquals(rented, rents.sumOf { it.count }, "deadline $deadline, free in $free")
+            val requests = planRentals(snapshot(listOf(job), listOf(busy)), job)
+            assertEquals(rented, requests.sumOf { it.count }, "deadline $deadline, free in $free")
         }
     }
 
     @Test
-    fun `urgent work on machines with GPUs has plain ones rented for what follows it`() {
-        val s = snapshot(emptyList(), listOf(machine("n-1", Samples.gpu))).copy(gpuWastingJobs = listOf(Samples.gang))
-        assertEquals("plain", provisioner().planRentals(s, NOTHING, emptySet(), 10).single().market.type)
-        val relieved = s.copy(machines = s.machines + machine("n-2"))
-        assertTrue(provisioner().planRentals(relieved, NOTHING, emptySet(), 10).isEmpty())
+    fun `replacement machines without GPUs are rented for urgent work that runs on machines with GPUs`() {
+        val snapshot =
+            snapshot(emptyList(), listOf(machine("n-1", Samples.gpu))).copy(gpuWastingJobs = listOf(Samples.gang))
+        assertEquals("plain", provisioner().planRentals(snapshot, NOTHING, emptySet(), 10).single().market.type)
+        val withPlain = snapshot.copy(machines = snapshot.machines + machine("n-2"))
+        assertTrue(provisioner().planRentals(withPlain, NOTHING, emptySet(), 10).isEmpty())
     }
 
     @Test
-    fun `the dearer a machine the sooner it goes back`() {
+    fun `the more expensive an idle machine, the sooner it is returned`() {
         val idle = { host: String, type: MachineType, seconds: Int ->
             machine(host, type).copy(idleFor = seconds.seconds)
         }
--- a/src/test/kotlin/topazvale/scheduler/SchedulerFixtures.kt
+++ b/src/test/kotlin/topazvale/scheduler/SchedulerFixtures.kt
@@ -15,12 +15,12 @@
 internal val placement = Placement()
 
 internal fun provisioner(bids: BidStrategy = WindowMinimumBid(10.minutes, 0.001)) =
-    Provisioner(slack, bids, keep = 45.seconds)
+    Provisioner(slack, bids, idleTimeout = 45.seconds)
 
-internal fun rents(snapshot: Snapshot, job: WaitingJob, bids: BidStrategy = WindowMinimumBid(10.minutes, 0.001)) =
-    provisioner(bids).planRentals(snapshot, PlacementPlan(emptyList(), listOf(job)), emptySet(), mostPerRent = 10)
+internal fun planRentals(snapshot: Snapshot, job: WaitingJob, bids: BidStrategy = WindowMinimumBid(10.minutes, 0.001)) =
+    provisioner(bids).planRentals(snapshot, PlacementPlan(emptyList(), listOf(job)), emptySet(), maxMachines = 10)
 
-/** An ordinary task that takes a whole plain machine, and loses little when it is stopped. */
+/** An ordinary task that occupies a whole plain machine and loses little work when it is preempted. */
 internal fun ordinaryRelease(index: Int) = CapacityRelease(
     Start(TaskId("job-9", index), 1),
     Samples.plain.capacity,
@@ -29,8 +29,8 @@
     1.seconds,
 )
 
-/** A plain machine that is full, and free again after [within]. */
-internal fun soonFree(host: String, within: Duration, zone: String = "a") = machine(host, zone = zone).copy(
+/** A full plain machine that is expected to be free again after [freeIn]. */
+internal fun soonFree(host: String, freeIn: Duration, zone: String = "a") = machine(host, zone = zone).copy(
     free = Resources.NONE,
-    releases = lazyOf(listOf(CapacityRelease(null, Samples.plain.capacity, within))),
+    releases = lazyOf(listOf(CapacityRelease(null, Samples.plain.capacity, freeIn))),
 )
--- a/src/test/kotlin/topazvale/scheduler/ServicePlacementTest.kt
+++ b/src/test/kotlin/topazvale/scheduler/ServicePlacementTest.kt
@@ -15,22 +15,22 @@
 import kotlin.time.Duration.Companion.minutes
 import kotlin.time.Duration.Companion.seconds
 
-/** Replicas lie apart, and find capacity that is reserved for them. */
+/** Replicas are distributed over machines and zones, and capacity is reserved for future ones. */
 class ServicePlacementTest {
     @Test
-    fun `replicas lie apart, on steady machines where they may choose`() {
-        val free = Samples.service.copy(spotAllowed = true, spread = false)
+    fun `replicas are distributed over machines and zones, and prefer on-demand machines`() {
+        val anyMarket = Samples.service.copy(spotAllowed = true, spread = false)
         val machines =
             listOf(machine("n-1"), machine("n-2", zone = "b"), machine("n-3"), machine("n-4", zone = "b", spot = true))
         fun hosts(job: WaitingJob) = placement.plan(snapshot(listOf(job), machines)).assignments.map { it.host }.toSet()
         assertEquals(setOf("n-1", "n-2", "n-3"), hosts(waiting(Samples.service)))
-        assertEquals(setOf("n-1", "n-2"), hosts(waiting(free.copy(tasks = 2))))
-        val begun = waiting(
+        assertEquals(setOf("n-1", "n-2"), hosts(waiting(anyMarket.copy(tasks = 2))))
+        val started = waiting(
             Samples.service,
             pendingTasks = 1,
             placedByZone = mapOf("a" to 1, "b" to 1),
         ).copy(placedByHost = mapOf("n-1" to 1, "n-2" to 1))
-        assertEquals(setOf("n-3"), hosts(begun))
+        assertEquals(setOf("n-3"), hosts(started))
         val fewMachines = placement.plan(
             snapshot(
                 listOf(waiting(Samples.service.copy(tasks = 4))),
@@ -41,7 +41,7 @@
     }
 
     @Test
-    fun `capacity is reserved for replicas to come, in several zones, from all that is not one`() {
+    fun `capacity is reserved for future replicas in several zones and other jobs may not use it`() {
         val load = ServiceLoad(Samples.service, largestReplicaCount = 4, replicasPerSecond = 0.0)
         val urgent = waiting(Samples.gang.copy(tasks = 1, oneZone = false))
         val machines =
@@ -49,50 +49,48 @@
                 machine("n-1", spot = false).copy(idleFor = 10.minutes),
                 machine("n-2", zone = "b", spot = true).copy(idleFor = 10.minutes),
             )
-        val s = snapshot(listOf(urgent), machines).copy(services = listOf(load))
-        val plan = placement.plan(s)
-        // The gang's 15 processors would leave too little on n-1; replicas may not use the spot machine.
+        val snapshot = snapshot(listOf(urgent), machines).copy(services = listOf(load))
+        val plan = placement.plan(snapshot)
+        // The gang's 15 CPUs would leave too little on n-1; replicas may not use the spot machine.
         assertEquals(listOf("n-2"), plan.assignments.map { it.host })
         assertEquals(setOf("n-1"), plan.reservedHosts)
         assertEquals(listOf("b" to 2), plan.unreservedReplicas.map { it.spec.zone to it.pendingTasks })
         assertEquals(
             listOf(RentalRequest(Market("plain", "b", false), 1)),
-            provisioner().planRentals(s, plan, emptySet(), 10),
+            provisioner().planRentals(snapshot, plan, emptySet(), 10),
         )
-        assertEquals(listOf("n-2"), provisioner().planReturns(s, plan.reservedHosts))
-        val waitsTooLong = urgent.copy(
+        assertEquals(listOf("n-2"), provisioner().planReturns(snapshot, plan.reservedHosts))
+        val waitedLong = urgent.copy(
             submitted = Samples.now - 61.seconds,
             spec = urgent.spec.copy(spotAllowed = false),
         )
-        // Another like it has just found all full.
-        val fresh = waitsTooLong.copy(
+        // A similar job that has not waited has just found no free capacity.
+        val fresh = waitedLong.copy(
             submitted = Samples.now,
-            spec = waitsTooLong.spec.copy(id = "job-3", rank = Rank.CRITICAL),
+            spec = waitedLong.spec.copy(id = "job-3", rank = Rank.CRITICAL),
         )
-        val both = placement.plan(s.copy(jobs = listOf(fresh, waitsTooLong))).assignments
+        val assignments = placement.plan(snapshot.copy(jobs = listOf(fresh, waitedLong))).assignments
         assertEquals(
-            listOf(waitsTooLong.spec.id to "n-1"),
-            both.map {
-                it.job to it.host
-            },
-            "nobody waits for long beside it",
+            listOf(waitedLong.spec.id to "n-1"),
+            assignments.map { it.job to it.host },
+            "a job that has waited for long may use reserved capacity",
         )
-        // A replica takes what is kept, and the rest stays kept.
-        val replica = placement.plan(s.copy(jobs = listOf(waiting(Samples.service.copy(tasks = 2)), urgent)))
-        assertEquals(setOf("n-1", "n-2"), replica.assignments.map { it.host }.toSet())
-        assertTrue(replica.assignments.none { it.job == urgent.spec.id && it.host == "n-1" })
+        // A replica uses reserved capacity, and the rest stays reserved.
+        val replicaPlan = placement.plan(snapshot.copy(jobs = listOf(waiting(Samples.service.copy(tasks = 2)), urgent)))
+        assertEquals(setOf("n-1", "n-2"), replicaPlan.assignments.map { it.host }.toSet())
+        assertTrue(replicaPlan.assignments.none { it.job == urgent.spec.id && it.host == "n-1" })
     }
 
     @Test
-    fun `a spread job rents zone by zone, and has lower ranks stopped in several`() {
+    fun `a spread job rents zone by zone and preempts lower ranks in several zones`() {
         val spread = waiting(Samples.service.copy(tasks = 6, need = Resources(5.0, 0.0, 5.0), spotAllowed = true))
-        val s = snapshot(listOf(spread), emptyList())
-        val rents = provisioner().planRentals(s, placement.plan(s), emptySet(), 10)
+        val snapshot = snapshot(listOf(spread), emptyList())
+        val requests = provisioner().planRentals(snapshot, placement.plan(snapshot), emptySet(), 10)
         assertEquals(
             mapOf("a" to 1, "b" to 1),
-            rents.groupBy {
+            requests.groupBy {
                 it.market.zone
-            }.mapValues { (_, r) -> r.sumOf { it.count } },
+            }.mapValues { (_, inZone) -> inZone.sumOf { it.count } },
         )
         fun small(host: String, index: Int) = ordinaryRelease(
             index,
--- a/src/test/kotlin/topazvale/scheduler/SlackAndBidTest.kt
+++ b/src/test/kotlin/topazvale/scheduler/SlackAndBidTest.kt
@@ -7,10 +7,10 @@
 import kotlin.time.Duration.Companion.minutes
 import kotlin.time.Duration.Companion.seconds
 
-/** How long a job can wait for a better price, and at which price it rents meanwhile. */
+/** How long a job can wait for a better price, and the maximum price at which machines are rented for it. */
 class SlackAndBidTest {
     @Test
-    fun `slack is what is left after alpha run times and a boot`() {
+    fun `slack is the time to the deadline minus alpha run times and the boot allowance`() {
         // deadline in, estimate, slack
         val cases = listOf(
             Triple(300.seconds, 20.seconds, 160.seconds),
@@ -18,15 +18,15 @@
             Triple(10.seconds, 20.seconds, 0.seconds),
             Triple(141.seconds, 20.seconds, 1.seconds),
         )
-        for ((due, estimate, expected) in cases) {
-            val job = waiting(Samples.array, deadline = due).copy(estimate = estimate)
-            assertEquals(expected, slack.slack(job, Samples.now), "deadline in $due")
+        for ((deadline, estimate, expected) in cases) {
+            val job = waiting(Samples.array, deadline = deadline).copy(estimate = estimate)
+            assertEquals(expected, slack.slack(job, Samples.now), "deadline in $deadline")
         }
         assertEquals(0.seconds, slack.slack(waiting(Samples.array), Samples.now), "no deadline")
     }
 
     @Test
-    fun `the bid follows the lowest price of the window until a job is urgent`() {
+    fun `the bid follows the lowest price of the window, and the current price for urgent jobs`() {
         val bids = WindowMinimumBid(10.minutes, 0.001)
         bids.recordPrice("gpu", 3.0, Samples.now)
         bids.recordPrice("gpu", 4.0, Samples.now + 5.minutes)
