--- a/src/main/kotlin/topazvale/reconcile/AbsenceProof.kt
+++ b/src/main/kotlin/topazvale/reconcile/AbsenceProof.kt
@@ -3,27 +3,27 @@
 import topazvale.model.ExitCause
 import kotlin.time.Duration
 
-/** Why a placement stops counting: its task is on its machine no more, and no late command can start it. */
+/** Evidence that a placement's task is no longer on its machine and that no delayed command can start it there. */
 sealed interface AbsenceProof {
-    /** Its worker has reported that it exited. */
+    /** The worker reported that the task exited. */
     data class Exited(val cause: ExitCause) : AbsenceProof
 
-    /** A report whose worker has seen [token], this leader's or a higher one, does not list it. */
+    /** A report does not list the task, and its worker has seen [token], which is at least this leader's. */
     data class NotListed(val session: Long, val sequence: Long, val token: Long) : AbsenceProof
 
-    /** Its worker has begun a later session, and forgot everything from before. */
+    /** The worker began a later session, and nothing of an earlier session survives. */
     data class LaterSession(val session: Long) : AbsenceProof
 
-    /** Its worker's lease has ended. */
+    /** The worker's lease expired. */
     data class LeaseEnded(val lease: LeaseGrounds) : AbsenceProof
 
-    /** The cloud has confirmed that its machine is gone. */
+    /** The cloud confirmed that the machine was returned. */
     data object MachineReturned : AbsenceProof
 }
 
 /**
- * What a worker's lease was judged by: the last message that could have renewed it ([session], [sequence], and the
- * highest [token] its worker had shown) came in [age] ago; the lease may have lasted for [lease] after that.
+ * The evidence on which a worker's lease is judged: the last message that may have renewed it ([session], [sequence],
+ * and the highest [token] the worker had reported) arrived [age] ago; the lease lasts at most [lease] after that.
  */
 data class LeaseGrounds(
     val session: Long,
--- a/src/main/kotlin/topazvale/reconcile/ClusterState.kt
+++ b/src/main/kotlin/topazvale/reconcile/ClusterState.kt
@@ -15,39 +15,42 @@
 import kotlin.time.Instant
 
 /**
- * All that a leader knows of jobs and machines. Changes that have to outlive it are handed to the record writer as they
- * are made. Used on the event loop alone.
+ * The leader's view of all jobs, machines and placements. Changes that must survive the leader are passed to the record
+ * writer as they are made. Not thread-safe: used only on the event loop.
  */
 class ClusterState(
     private val records: RecordWriter,
-    private val starts: StartLog,
+    private val startLog: StartLog,
     private val valueBytes: Int,
     private val clocks: Clocks,
 ) {
-    /** All placements that count. */
+    /** All tracked placements. */
     val ledger = PlacementLedger()
 
-    /** Which jobs there are. */
+    /** The unfinished jobs, with the rules by which records of them are accepted. */
     val registry = JobRegistry(ledger, JobLog(records.term))
 
-    /** The jobs that are not over, by id, in the order of their submission. */
+    /** The unfinished jobs by id, in the order of their submission. */
     val jobs: Map<String, ManagedJob> get() = registry.jobs
 
-    /** The machines that are rented, by name. */
+    /** The rented machines by name. */
     val machines = LinkedHashMap<String, ManagedMachine>()
 
-    /** The cloud's machine types with their current prices, by name; empty before the first price list. */
+    /** The cloud's machine types with their current prices, by name; empty until the first price list arrives. */
     var types: Map<String, MachineType> = emptyMap()
 
     private val returned = ReturnedMachines()
 
-    /** Whether the machine went back in this term: what is still heard of it is late. */
+    /** Whether the machine was returned in this term; any report or listing of it that still arrives is stale. */
     fun isReturned(host: String) = host in returned
 
-    /** A job that is not over was read as the term began. */
+    /** Adds an unfinished job that was read when the term began. */
     fun addJob(record: JobRecord, version: Long): ManagedJob = registry.add(record, version, RecordSource.REBUILD)
 
-    /** New machines, put on record together; [rentedInThisTerm]: the cloud has just given them to us. */
+    /**
+     * Adds machines that have no record yet and records them as one group. [rentedInThisTerm] means that this leader
+     * has just rented them.
+     */
     fun addMachines(name: String, market: Market, rentedAt: Instant, hosts: List<String>, rentedInThisTerm: Boolean) {
         val group = MachineGroup(Keys.group(name), market, rentedAt)
         for (host in hosts.filter { it !in machines && it !in returned }) {
@@ -56,7 +59,7 @@
         if (group.machines.isNotEmpty()) group.ticket = records.put(group.key) { group.record(valueBytes) }
     }
 
-    /** Machines that are on record already. */
+    /** Adds the machines of a group that is already recorded. */
     fun loadGroup(key: String, record: MachineGroupRecord) {
         val group = MachineGroup(key, record.market, record.rented)
         for ((host, images) in record.images) {
@@ -66,22 +69,25 @@
         }
     }
 
-    /** From now on the task counts on the machine. */
+    /** Tracks a placement of the task on the machine. */
     fun place(start: Start, machine: ManagedMachine, session: Long, origin: PlacementOrigin): PlacedTask {
         val placed = PlacedTask(start, machine, session, jobs[start.task.job]?.spec, origin)
         ledger.add(placed)
         return placed
     }
 
-    /** Its task is proven to be on the machine no more; [reported]: by its worker's report of its exit. */
+    /**
+     * Removes a placement whose task is confirmed absent; [reported] means that the worker's report of the task's exit
+     * confirmed it.
+     */
     fun removePlacement(placed: PlacedTask, reported: Boolean) {
         ledger.remove(placed)
         val job = jobs[placed.start.task.job]
-        if (job == null) ledger.removeIfEmpty(placed.start.task.job) else giveUpFetch(placed.machine, job.spec.image)
-        starts.startEnded(placed, reported)
+        if (job == null) ledger.removeIfEmpty(placed.start.task.job) else dropStaleFetch(placed.machine, job.spec.image)
+        startLog.startEnded(placed, reported)
     }
 
-    /** The task is done for good. */
+    /** Marks the task as done and records it. A replica of a service is never done. */
     fun markDone(job: ManagedJob, index: Int) {
         if (job.done.get(index) || index >= job.spec.tasks || job.spec.isService) return
         job.done.set(index)
@@ -90,21 +96,21 @@
         records.putDeferred(Keys.chunk(job.spec.id, chunk)) { ChunkRecords.encode(job.done, chunk) }
     }
 
-    /** A start that needs the image is on its way to the machine. */
+    /** Notes that a start was assigned to the machine, which has to fetch the image unless it caches it. */
     fun imageFetchStarted(machine: ManagedMachine, spec: JobSpec) {
         if (machine.recordImageUse(spec.image)) machine.fetchingImages[spec.image] = spec.imageGb
     }
 
-    /** A task that needs the image is on the machine. */
+    /** Notes that a task on the machine has its image. */
     fun imageFetched(machine: ManagedMachine, image: String) {
-        val arrived = machine.fetchingImages.remove(image) != null
-        if (machine.recordImageUse(image) || arrived) {
+        val wasFetching = machine.fetchingImages.remove(image) != null
+        if (machine.recordImageUse(image) || wasFetching) {
             records.putDeferred(machine.group.key) { machine.group.record(valueBytes) }
         }
     }
 
-    /** A fetch that no task waits for any more is given up. */
-    private fun giveUpFetch(machine: ManagedMachine, image: String) {
+    /** Forgets a pending fetch once no task on the machine needs the image: the worker abandons such a fetch. */
+    private fun dropStaleFetch(machine: ManagedMachine, image: String) {
         if (image !in machine.fetchingImages ||
             machine.placements.keys.any { jobs[it.task.job]?.spec?.image == image }
         ) {
@@ -114,14 +120,14 @@
         machine.images -= image
     }
 
-    /** Has the counts written that polls show. */
+    /** Schedules the write of the task counts that users see when they poll the job. */
     fun publishCounts(job: ManagedJob) {
         records.putBackground(Keys.taskCounts(job.spec.id)) {
             TaskCountRecord(job.doneCount, job.runningTasks).encode()
         }
     }
 
-    /** The machine has gone back to the cloud, and all that was on it is gone. */
+    /** Removes a machine that was returned to the cloud, with all its placements. */
     fun removeReturned(machine: ManagedMachine) {
         machine.placements.values.toList().forEach { removePlacement(it, reported = false) }
         machines.remove(machine.host)
@@ -135,9 +141,9 @@
         }
     }
 
-    /** What the tasks of each team take, by team; of jobs that are over too, while something of them is there. */
+    /** The resources in use, by team; includes finished jobs as long as any of their tasks may be on a machine. */
     fun usage(): Map<String, Resources> = ledger.usage { jobs[it]?.spec }
 
-    /** Whether [usage] holds all that is on machines; otherwise any team may use more than it says. */
+    /** Whether [usage] covers every placement; if not, any team may use more than it shows. */
     val isUsageComplete: Boolean get() = ledger.isUsageComplete { jobs[it]?.spec }
 }
--- a/src/main/kotlin/topazvale/reconcile/DirectCommands.kt
+++ b/src/main/kotlin/topazvale/reconcile/DirectCommands.kt
@@ -14,112 +14,115 @@
 /**
  * Sends orders to workers without waiting for their next report.
  *
- * A direct command that gets no answer may be carried out minutes later, as long as token and session stand. Its
- * starts are marked as unsettled before it leaves and stay so until an answer settles it.
+ * A direct command without a response may still be carried out minutes later, as long as neither the token nor the
+ * session is superseded. Its starts are therefore marked as in doubt before it is sent, until a response resolves it.
  */
 class DirectCommands(
     private val context: TermContext,
     private val records: RecordWriter,
     private val cluster: ClusterState,
     private val reports: ReportProcessor,
-    private val knowsCancellations: () -> Boolean,
+    private val areCancellationsCurrent: () -> Boolean,
 ) {
     private val settings = context.settings
     private val token = context.term.token
-    private val busy = HashSet<String>()
 
-    /** Machines for which there may be something to say: to look at all of them for each change takes too long. */
-    private val due = LinkedHashSet<ManagedMachine>()
+    /** Machines with a command in flight, by name; each has at most one. */
+    private val inFlight = HashSet<String>()
+
+    /** Machines that may have orders to send: checking all machines after each change takes too long. */
+    private val queue = LinkedHashSet<ManagedMachine>()
 
     /**
-     * A former leader may go on answering workers until they see our token, for [formerLeaderWindow] at most. Those
-     * that do not come by themselves are told, and told again: a message may get lost, or find no socket free.
+     * Sends this leader's token to the workers that a former leader may still answer, which it may do for up to
+     * [formerLeaderWindow] or until they see a higher token. Workers that do not report by themselves get a command
+     * without orders, repeated because a message may get lost or find no free socket.
      */
     suspend fun propagateToken(formerLeaderWindow: Duration) {
-        val until = context.clocks.mark() + formerLeaderWindow
+        val deadline = context.clocks.mark() + formerLeaderWindow
         delay(settings.workers.reportInterval)
-        while (until.hasNotPassedNow()) {
+        while (deadline.hasNotPassedNow()) {
             for (machine in cluster.machines.values.toList()) {
-                if (!heldByOthers(machine)) continue
+                if (!mayFollowFormerLeader(machine)) continue
                 send(machine, emptyList())
-                delay(RAISE_EVERY)
+                delay(PROPAGATION_INTERVAL)
             }
-            delay(RAISE_AGAIN)
+            delay(PROPAGATION_PAUSE)
         }
     }
 
-    /** What the cloud gave to this leader has known no other. */
-    private fun heldByOthers(machine: ManagedMachine): Boolean {
-        val mayKnowOther = machine.token < token && !machine.rentedInThisTerm && !machine.returning
-        return mayKnowOther && machine.endpoint.isNotEmpty() && machine.host !in busy
+    /** Whether a former leader may still answer the worker; a machine rented in this term has had no other leader. */
+    private fun mayFollowFormerLeader(machine: ManagedMachine): Boolean {
+        val mayHaveFormerLeader = machine.token < token && !machine.rentedInThisTerm && !machine.returning
+        return mayHaveFormerLeader && machine.endpoint.isNotEmpty() && machine.host !in inFlight
     }
 
-    /** There may be something to say to the machine. */
+    /** Queues the machine, which may have orders to send. */
     fun enqueue(machine: ManagedMachine) {
-        due += machine
+        queue += machine
     }
 
-    /** Sends what is due and on record. */
-    fun deliver() {
-        due.removeAll { machine ->
-            if (machine.host in busy) return@removeAll false
-            if (!reached(machine)) return@removeAll true
-            val complete = machine.placements.values.all { it.mayBeSent(records) }
+    /** Sends the orders of queued machines, as far as their records are durable. */
+    fun sendQueued() {
+        queue.removeAll { machine ->
+            if (machine.host in inFlight) return@removeAll false
+            if (!isReachable(machine)) return@removeAll true
+            val allRecorded = machine.placements.values.all { it.mayBeSent(records) }
             val orders = orders(machine)
             when {
-                orders.isEmpty() -> complete
+                orders.isEmpty() -> allRecorded
 
-                // Starts leave together; a stop waits for nothing.
-                complete || orders.any { it is Order.Stop } -> send(machine, orders) && complete
+                // The starts of a machine are sent together; a stop is sent at once.
+                allRecorded || orders.any { it is Order.Stop } -> send(machine, orders) && allRecorded
 
                 else -> false
             }
         }
     }
 
-    /** Others learn their orders from the answer to their next report, if there is one. */
-    private fun reached(machine: ManagedMachine): Boolean {
+    /** Whether the worker is likely to get a command; any other gets its orders in the response to its next report. */
+    private fun isReachable(machine: ManagedMachine): Boolean {
         if (cluster.machines[machine.host] !== machine || !machine.responseDelivery.isConfirmed) return false
-        val reported = machine.lastAnsweredReportAt ?: return false
-        return reported.elapsedNow() < settings.workers.reportInterval * MachineSnapshots.MAX_MISSED_REPORTS
+        val lastReport = machine.lastAnsweredReportAt ?: return false
+        return lastReport.elapsedNow() < settings.workers.reportInterval * MachineSnapshots.MAX_MISSED_REPORTS
     }
 
     private fun orders(machine: ManagedMachine): List<Order> = machine.placements.values.mapNotNull { placed ->
-        val grace = placed.stopGracePeriod
-        val fresh = placed.state == null && !placed.startSent && !placed.isInherited
+        val gracePeriod = placed.stopGracePeriod
+        val mayStart = placed.state == null && !placed.startSent && !placed.isInherited
         when {
             !placed.mayBeSent(records) || placed.session != machine.session -> null
-            grace != null -> if (placed.stopSent) null else Order.Stop(placed.start, grace)
-            fresh && knowsCancellations() -> Order.Run(placed.start)
+            gracePeriod != null -> if (placed.stopSent) null else Order.Stop(placed.start, gracePeriod)
+            mayStart && areCancellationsCurrent() -> Order.Run(placed.start)
             else -> null
         }
     }
 
-    /** False where no socket is free for it. */
+    /** Sends a command in the background; false if no socket is free for it. */
     private fun send(machine: ManagedMachine, orders: List<Order>): Boolean {
-        if (busy.size >= settings.maxConnections / SOCKETS_PART || !context.sockets.hasSpare) return false
-        val runs = orders.filterIsInstance<Order.Run>().mapNotNull { machine.placements[it.start] }
-        val settledByAnswer = runs.filter { !it.inDoubt }
-        for (placed in runs) {
+        if (inFlight.size >= settings.maxConnections / SOCKETS_DIVISOR || !context.sockets.hasSpare) return false
+        val starting = orders.filterIsInstance<Order.Run>().mapNotNull { machine.placements[it.start] }
+        val resolvedByResponse = starting.filter { !it.inDoubt }
+        for (placed in starting) {
             placed.startSent = true
             placed.inDoubt = true
         }
         for (order in orders) if (order is Order.Stop) machine.placements[order.start]?.stopSent = true
-        busy += machine.host
+        inFlight += machine.host
         val session = machine.session
         context.launch("direct command") {
             try {
                 val report = context.services.workers.command(machine.endpoint, token, session, orders)
-                if (report != null) answered(machine, report, settledByAnswer)
+                if (report != null) applyResponse(machine, report, resolvedByResponse)
             } finally {
-                busy -= machine.host
+                inFlight -= machine.host
             }
         }
         return true
     }
 
-    private fun answered(machine: ManagedMachine, report: Report, settled: List<PlacedTask>) {
-        settled.forEach { it.inDoubt = false }
+    private fun applyResponse(machine: ManagedMachine, report: Report, resolved: List<PlacedTask>) {
+        resolved.forEach { it.inDoubt = false }
         if (cluster.machines[machine.host] === machine &&
             reports.applyReport(report, ReportSource.DIRECT)
         ) {
@@ -129,10 +132,13 @@
 
     private companion object {
         /**
-         * Workers hold connections to us already: direct commands get a part of the sockets, or wait for the report.
+         * Direct commands use at most this fraction of the sockets, as workers already hold connections for their
+         * reports. An order that finds no socket is sent in the response to the worker's next report.
          */
-        const val SOCKETS_PART = 8
-        val RAISE_EVERY = 4.milliseconds
-        val RAISE_AGAIN = 2.seconds
+        const val SOCKETS_DIVISOR = 8
+
+        /** Time between two workers, and between two rounds over all workers. */
+        val PROPAGATION_INTERVAL = 4.milliseconds
+        val PROPAGATION_PAUSE = 2.seconds
     }
 }
--- a/src/main/kotlin/topazvale/reconcile/ExpiredLeases.kt
+++ b/src/main/kotlin/topazvale/reconcile/ExpiredLeases.kt
@@ -1,20 +1,20 @@
 package topazvale.reconcile
 
-/** Gives up the tasks of silent workers whose lease must have ended. */
+/** Removes the tasks of unresponsive workers whose lease has certainly expired. */
 internal class ExpiredLeases(
     private val cluster: ClusterState,
     private val leaseRules: LeaseRules,
     private val reports: ReportProcessor,
     private val decisions: DecisionLog,
 ) {
-    /** Called regularly by the planning loop. */
+    /** Expires the leases that are due; called regularly by the planning loop. */
     fun expire() {
         for (machine in cluster.machines.values) {
-            if (machine.placements.isNotEmpty() && !machine.lease.mayRun(leaseRules)) giveUp(machine)
+            if (machine.placements.isNotEmpty() && !machine.lease.mayRun(leaseRules)) expireLease(machine)
         }
     }
 
-    private fun giveUp(machine: ManagedMachine) {
+    private fun expireLease(machine: ManagedMachine) {
         val grounds = machine.lease.grounds(leaseRules)
         if (machine.lease.mayRun(leaseRules)) Invariants.reportViolation("early_give_up", "${machine.host}: $grounds")
         decisions.machineLost(machine, grounds)
--- a/src/main/kotlin/topazvale/reconcile/Leadership.kt
+++ b/src/main/kotlin/topazvale/reconcile/Leadership.kt
@@ -15,15 +15,15 @@
 import kotlin.time.measureTime
 
 /**
- * One leadership term: rebuilds the cluster state from the records, then runs the loops that close the gap between the
- * desired and the actual state. Owns the cluster state; everything runs on the event loop of the context's scope.
+ * One leadership term: rebuilds the cluster state from the records, then runs the loops that reconcile the actual state
+ * with the desired state. Owns the cluster state; everything runs on the event loop of the context's scope.
  *
- * [grace] is for how long a leader that cannot be certain of its lease still answers reports. [reportedCancelled] gives
- * the jobs that users were told are cancelled, or may have been, by any controller that can be reached.
+ * [gracePeriod] is the time for which a leader that may have lost its lease still answers reports. [reportedCancelled]
+ * returns the jobs that any reachable controller has, or may have, reported to a user as cancelled.
  */
 class Leadership(
     private val context: TermContext,
-    private val grace: Duration,
+    private val gracePeriod: Duration,
     private val reportedCancelled: () -> Set<String>,
 ) {
     private val decisions = DecisionLog(context.term.token)
@@ -33,74 +33,74 @@
     private val limits = settings.stateLimits
     private val records =
         RecordWriter(context.services.state, Condition(Keys.LEADER, term.token), limits.opsPerTransaction)
-    private val starts = StartLog(records, term.token, limits.valueBytes)
-    private val cluster = ClusterState(records, starts, limits.valueBytes, clocks)
+    private val startLog = StartLog(records, term.token, limits.valueBytes)
+    private val cluster = ClusterState(records, startLog, limits.valueBytes, clocks)
     private val runTimes = RunTimes()
     private val reports = ReportProcessor(cluster, records, term.token, settings.workers.lease, runTimes, clocks)
-    private val directCommands = DirectCommands(context, records, cluster, reports, ::knowsCancellations)
+    private val directCommands = DirectCommands(context, records, cluster, reports, ::areCancellationsCurrent)
     private val stopper = TaskStopper(cluster, directCommands, decisions)
-    private val planning = PlanningLoop(context, cluster, starts, runTimes, directCommands, stopper)
+    private val planning = PlanningLoop(context, cluster, startLog, runTimes, directCommands, stopper)
     private val jobs = JobLifecycle(context.services.state, records, cluster, clocks, context::requestPlan)
-    private val health = TermHealth(settings, term, cluster, clocks, ::knowsCancellations)
-    private val began = clocks.mark()
+    private val health = TermHealth(settings, term, cluster, clocks, ::areCancellationsCurrent)
+    private val termStart = clocks.mark()
     private val leaseRules = LeaseRules(
         term.token,
         settings.workers.lease,
-        formerLeaderUntil = began + grace + LeaseRules.longest(settings.workers.lease),
+        formerLeaderUntil = termStart + gracePeriod + LeaseRules.maxDuration(settings.workers.lease),
     )
     private val expiredLeases = ExpiredLeases(cluster, leaseRules, reports, decisions)
     private val writeRequests = Channel<Unit>(Channel.CONFLATED)
 
-    /** What can wait gets a fixed share of the changes per second. */
-    private val spareInterval = (limits.opsPerTransaction / (limits.writeRps * SPARE_SHARE)).seconds
-    private var spareAt: ComparableTimeMark = began
-    private var checkedAt: ComparableTimeMark = began
-    private var ready = false
+    /** Deferred writes get a fixed share of the changes that the state service accepts per second. */
+    private val deferredWriteInterval = (limits.opsPerTransaction / (limits.writeRps * DEFERRED_WRITE_SHARE)).seconds
+    private var nextDeferredWriteAt: ComparableTimeMark = termStart
+    private var lastCheckAt: ComparableTimeMark = termStart
+    private var isRebuilt = false
 
-    /** Nothing is started before: which tasks run may not be known yet. */
-    private var startsFrom: ComparableTimeMark = began
+    /** No task is started before this time, because tasks may run that are not known yet. */
+    private var startsAllowedFrom: ComparableTimeMark = termStart
 
-    /** Up to when all cancellations that users were told of are known. */
+    /** The time up to which this leader knows all cancellations reported to users. */
     val currentAsOf: ComparableTimeMark get() = jobs.currentAsOf
 
-    /** Rebuilds the state and starts the loops. */
+    /** Rebuilds the cluster state and starts the loops of the term. */
     fun start() {
-        context.launch("term") { lead() }
+        context.launch("term") { runTerm() }
     }
 
-    /** The orders in answer to a report; null while the state is not rebuilt yet. */
+    /** Applies a report and returns the orders of the response; null until the cluster state is rebuilt. */
     fun respond(report: Report): List<Order>? {
-        if (!ready) return null
+        if (!isRebuilt) return null
         if (reports.applyReport(report, ReportSource.ANSWERED)) {
             context.requestPlan()
             requestWrite()
         }
         val machine = cluster.machines[report.host]
-        // To an older report there is nothing to say: what it shows may no longer be so.
-        val current = machine != null && report.session == machine.session && report.sequence == machine.sequence
-        if (machine == null || !current) return emptyList()
+        // An out-of-order report gets no orders, as the task states that it lists may be out of date.
+        val isNewest = machine != null && report.session == machine.session && report.sequence == machine.sequence
+        if (machine == null || !isNewest) return emptyList()
         val orders = reports.orders(machine, report)
         decisions.reportAnswered(report, orders)
-        machine.responseDelivery.answered(orders.firstNotNullOfOrNull { (it as? Order.Run)?.start })
+        machine.responseDelivery.recordResponse(orders.firstNotNullOfOrNull { (it as? Order.Run)?.start })
         return orders
     }
 
-    /** Takes in a report that may not be answered, as that would renew its worker's lease. */
+    /** Applies a report that must not be answered, as a response would renew the worker's lease. */
     fun applyUnanswered(report: Report) {
-        if (ready && reports.applyReport(report, ReportSource.UNANSWERED)) context.requestPlan()
+        if (isRebuilt && reports.applyReport(report, ReportSource.UNANSWERED)) context.requestPlan()
     }
 
-    private suspend fun lead() {
-        val read = clocks.mark()
-        val rebuild = Rebuild(context.services.state, records, cluster, starts, decisions)
+    private suspend fun runTerm() {
+        val readStartedAt = clocks.mark()
+        val rebuild = Rebuild(context.services.state, records, cluster, startLog, decisions)
         val revision = rebuild.run()
-        if (!rebuild.complete) startsFrom = leaseRules.formerLeaderUntil
-        ready = true
+        if (!rebuild.complete) startsAllowedFrom = leaseRules.formerLeaderUntil
+        isRebuilt = true
         decisions.rebuilt(cluster, rebuild.complete)
-        context.launch("watch of the jobs") { jobs.watch(revision, read) }
+        context.launch("watch of the jobs") { jobs.watch(revision, readStartedAt) }
         context.launch("writes") { writeLoop() }
         context.launch("provisioning") { planning.provisioning.run() }
-        context.launch("tokens") { directCommands.propagateToken(grace + settings.workers.lease) }
+        context.launch("tokens") { directCommands.propagateToken(gracePeriod + settings.workers.lease) }
         planLoop()
     }
 
@@ -109,26 +109,30 @@
     }
 
     /**
-     * Whether what users asked for is known well enough to start tasks. After an outage the lease may be certain before
-     * the watch has told of cancellations that users learnt of before it.
+     * Whether the known cancellations are recent enough to start tasks. After an outage this leader may hold a valid
+     * lease again before the watch delivers cancellations that were reported to users before the outage.
      */
-    private fun knowsCancellations() = jobs.currentAsOf.elapsedNow() < settings.workers.cancelLimit / KNOWN_WITHIN_PART
+    private fun areCancellationsCurrent() =
+        jobs.currentAsOf.elapsedNow() < settings.workers.cancelLimit / MAX_WATCH_AGE_DIVISOR
 
     private suspend fun planLoop() {
         while (true) {
-            context.awaitPlanRequest(PLAN_INTERVAL)
-            if (!mayGoOn()) return term.end()
-            val took = clocks.monotonic.measureTime { planOrDeliver() }
-            if (!rest(restAfter(took))) return term.end()
+            context.awaitPlanRequest(MAX_PLAN_INTERVAL)
+            if (!runChecks()) return term.end()
+            val planDuration = clocks.monotonic.measureTime { planOrSendQueued() }
+            if (!pauseWithChecks(pauseAfter(planDuration))) return term.end()
         }
     }
 
-    /** What cannot wait for the next plan; false where this leader should give way. */
-    private fun mayGoOn(): Boolean {
-        if (checkedAt.elapsedNow() >= CHECK_INTERVAL) {
-            checkedAt = clocks.mark()
+    /**
+     * Runs what must not wait for the next plan: stops, and at intervals the expiry of leases and the checks of the
+     * ledger and of this leader's health. False if this leader should step down.
+     */
+    private fun runChecks(): Boolean {
+        if (lastCheckAt.elapsedNow() >= CHECK_INTERVAL) {
+            lastCheckAt = clocks.mark()
             expiredLeases.expire()
-            cluster.ledger.check(cluster.machines.values)
+            cluster.ledger.checkTotals(cluster.machines.values)
             if (!health.mayLead()) return false
         }
         stopper.requestStops(reportedCancelled())
@@ -136,68 +140,70 @@
     }
 
     /**
-     * Reports and users wait while a plan is made: plans get a fixed share of the time. By the clock a plan may have
-     * taken long because the process stood still in it, for which nobody should wait once more.
+     * The pause after a plan. Planning blocks reports and user requests, so it gets a fixed share of the time. The
+     * pause is bounded: a plan may have taken long by the clock only because the process was suspended, and that must
+     * not delay the work a second time.
      */
-    private fun restAfter(took: Duration) = (took * PLAN_REST_FACTOR).coerceIn(PLAN_REST, LONGEST_PLAN_REST)
+    private fun pauseAfter(planDuration: Duration) =
+        (planDuration * PLAN_PAUSE_FACTOR).coerceIn(MIN_PLAN_PAUSE, MAX_PLAN_PAUSE)
 
-    /** Rests between two plans; what is cancelled is stopped meanwhile. False where this leader should give way. */
-    private suspend fun rest(span: Duration): Boolean {
-        val until = clocks.mark() + span
+    /** Pauses between two plans and meanwhile stops cancelled tasks. False if this leader should step down. */
+    private suspend fun pauseWithChecks(pause: Duration): Boolean {
+        val deadline = clocks.mark() + pause
         while (true) {
-            val left = until - clocks.mark()
-            delay(left.coerceIn(Duration.ZERO, REST_STEP))
-            if (left <= REST_STEP) return true
-            if (!mayGoOn()) return false
-            directCommands.deliver()
+            val remaining = deadline - clocks.mark()
+            delay(remaining.coerceIn(Duration.ZERO, MAX_PAUSE_STEP))
+            if (remaining <= MAX_PAUSE_STEP) return true
+            if (!runChecks()) return false
+            directCommands.sendQueued()
         }
     }
 
-    private fun planOrDeliver() {
-        val mayStart = term.holdsLease && knowsCancellations() && startsFrom.hasPassedNow()
-        if (!mayStart) return directCommands.deliver()
+    private fun planOrSendQueued() {
+        val mayStart = term.holdsLease && areCancellationsCurrent() && startsAllowedFrom.hasPassedNow()
+        if (!mayStart) return directCommands.sendQueued()
         planning.plan(jobs.currentAsOf.elapsedNow())
         requestWrite()
     }
 
     private suspend fun writeLoop() {
         while (true) {
-            withTimeoutOrNull(spareInterval) { writeRequests.receive() }
+            withTimeoutOrNull(deferredWriteInterval) { writeRequests.receive() }
             records.flush()
-            directCommands.deliver()
-            jobs.finalizeJobs(afterEach = ::flushIfWaiting)
-            if (!records.hasUrgentWrites && spareAt.hasPassedNow()) {
+            directCommands.sendQueued()
+            jobs.finalizeJobs(afterEach = ::flushUrgentWrites)
+            if (!records.hasUrgentWrites && nextDeferredWriteAt.hasPassedNow()) {
                 records.flushDeferred()
-                spareAt = clocks.mark() + spareInterval
+                nextDeferredWriteAt = clocks.mark() + deferredWriteInterval
             }
         }
     }
 
-    private suspend fun flushIfWaiting() {
+    private suspend fun flushUrgentWrites() {
         if (!records.hasUrgentWrites) return
         records.flush()
-        directCommands.deliver()
+        directCommands.sendQueued()
     }
 
     private companion object {
-        /** A plan is made at least this often: bids, ages and deadlines change with time alone. */
-        val PLAN_INTERVAL = 1.seconds
+        /** A plan is made at least this often, as bids, ages and deadlines change without any event. */
+        val MAX_PLAN_INTERVAL = 1.seconds
 
-        /** The least time between two plans, and how many times the duration of the last one is rested. */
-        val PLAN_REST = 400.milliseconds
-        const val PLAN_REST_FACTOR = 8
+        /** The minimum pause between two plans, and the pause as a multiple of the last plan's duration. */
+        val MIN_PLAN_PAUSE = 400.milliseconds
+        const val PLAN_PAUSE_FACTOR = 8
 
-        /** The plans of the largest fleets take half a second of a slow process. */
-        val LONGEST_PLAN_REST = 4.seconds
+        /** A plan for the largest fleets takes half a second in a slow process, and the pause is 8 times that. */
+        val MAX_PLAN_PAUSE = 4.seconds
 
-        /** In a longer rest stops and checks are not put off for more than this. */
-        val REST_STEP = 1.seconds
+        /** The longest time without stops and checks during a pause. */
+        val MAX_PAUSE_STEP = 1.seconds
         val CHECK_INTERVAL = 500.milliseconds
 
-        /** The part of `cancel_s` within which the watch must have spoken for tasks to be started. */
-        const val KNOWN_WITHIN_PART = 4
+        /** Tasks are started only while the watch's data is younger than this fraction of `cancel_s`. */
+        const val MAX_WATCH_AGE_DIVISOR = 4
 
-        /** The share of the changes per second that is left to what nobody waits for. */
-        const val SPARE_SHARE = 0.4
+        /** The share of the changes per second that deferred writes get. */
+        const val DEFERRED_WRITE_SHARE = 0.4
     }
 }
--- a/src/main/kotlin/topazvale/reconcile/ManagedMachine.kt
+++ b/src/main/kotlin/topazvale/reconcile/ManagedMachine.kt
@@ -14,9 +14,9 @@
 import kotlin.time.Instant
 
 /**
- * A task that is, or may be, on a machine. It counts there until it is proven to be gone.
+ * A task that is, or may be, on a machine. It occupies its resources there until it is confirmed absent.
  *
- * [spec]: its job's description; null where the job is not known.
+ * [spec] is the description of its job; null if the job is unknown.
  */
 class PlacedTask(
     val start: Start,
@@ -25,62 +25,64 @@
     val spec: JobSpec?,
     val origin: PlacementOrigin,
 ) {
-    /** What it takes of its machine; of a stray whose job is not known that is not known either. */
+    /** The resources that it occupies; none for an orphaned task of an unknown job, whose needs are unknown too. */
     val need: Resources get() = spec?.need ?: Resources.NONE
 
-    /** It is on no record: found on the machine. */
+    /** Whether it was found on the machine without a start record. */
     val isOrphaned: Boolean get() = origin == PlacementOrigin.ORPHANED
 
-    /** This leader has not started it itself. */
+    /** Whether the placement was recorded or reported, rather than created by a start of this leader. */
     val isInherited: Boolean get() = origin != PlacementOrigin.STARTED
 
-    /** From this write ticket on the start is on record. */
+    /** The start record is durable once this write ticket is. */
     var ticket = Long.MAX_VALUE
 
-    /** The record that holds it; null for a task that was found on a machine and is on none. */
+    /** The record that holds the start; null for an orphaned task, which has none. */
     var batch: StartBatch? = null
 
-    /** As last reported; null while the machine has not shown it. */
+    /** The state last reported; null until a report lists the task. */
     var state: TaskState? = null
     var runningSince: ComparableTimeMark? = null
 
-    /** The grace with which it is to stop; null while it is wanted. */
+    /** The termination grace period, once the task is to stop; null while it should run. */
     var stopGracePeriod: Duration? = null
 
-    /** A stop has been sent as a direct command; the answers to reports repeat it. */
+    /** Whether a direct command with the stop was sent; responses to reports repeat the stop anyway. */
     var stopSent = false
 
-    /** Its start has been commanded in an answer to a report, or directly. */
+    /** Whether the start order was sent, in a response to a report or as a direct command. */
     var startSent = false
 
     /**
-     * The report in the answer to which its start was commanded; null once that answer has arrived or never will. The
-     * worker has one report in flight, so that its next one settles it; what it says to direct commands does not.
+     * The sequence number of the report whose response held the start order; null once that response has arrived or
+     * can no longer arrive. A worker has one report in flight, so its next report tells that; its response to a direct
+     * command does not.
      */
     var startSentInReport: Long? = null
 
-    /** A direct command got no answer: it may still be carried out as long as the session lasts. */
+    /** Whether a direct command with the start is unresolved: it may still be carried out while the session lasts. */
     var inDoubt = false
 
-    /** Whether it occupies its place on the machine: it has its image. */
+    /** Whether the machine has the image of the task, so that the task is past its fetch. */
     val hasImage get() = state != null && state != TaskState.FETCHING
 
-    /** Whether a report under our token that does not list it proves that it is gone. */
+    /** Whether a report under this leader's token that does not list the task confirms it absent. */
     val isExpectedInReports: Boolean
         get() {
-            val stopArrived = stopGracePeriod != null && !inDoubt && startSentInReport == null
-            return isInherited || state != null || stopArrived
+            val stopReceived = stopGracePeriod != null && !inDoubt && startSentInReport == null
+            return isInherited || state != null || stopReceived
         }
 
-    /** A report with this sequence number has come in: earlier ones have been answered, or never will be. */
+    /** Notes the arrival of a report: the responses to earlier ones have arrived or never will. */
     fun acknowledgeResponsesBefore(sequence: Long) {
-        val answered = startSentInReport ?: return
-        if (answered < sequence) startSentInReport = null
+        val sentIn = startSentInReport ?: return
+        if (sentIn < sequence) startSentInReport = null
     }
 
     /**
-     * Whether its command may leave: a later leader has to find both the start and its machine on record, as it takes
-     * what is on no machine of the records for gone. A stray is on none, and its stop must not wait for that.
+     * Whether orders for the task may be sent. The records of its start and its machine must be durable first, because
+     * a later leader treats a start as absent unless it finds both. An orphaned task has no record, and its stop must
+     * not wait for one.
      */
     fun mayBeSent(records: RecordWriter): Boolean =
         isOrphaned || (records.isDurable(ticket) && records.isDurable(machine.group.ticket))
@@ -88,21 +90,21 @@
     override fun toString() = "$start on ${machine.host}"
 }
 
-/** How a placement came to be known. */
+/** How the leader learned of a placement. */
 enum class PlacementOrigin {
-    /** This leader starts it. */
+    /** This leader started the task. */
     STARTED,
 
-    /** A former leader started it, by its record. */
+    /** A former leader recorded the start. */
     RECORDED,
 
-    /** It was found on its machine, and is on no record. */
+    /** The task was found on the machine and has no start record. */
     ORPHANED,
 }
 
 /**
- * A machine as this leader knows it. [rentedInThisTerm]: the cloud gave it to this very leader, so that no report of
- * its worker can be older than this term.
+ * A rented machine and what the leader knows of its worker. With [rentedInThisTerm] this leader rented the machine, so
+ * no report of its worker is older than the term.
  */
 class ManagedMachine(
     val host: String,
@@ -116,110 +118,123 @@
     var session = 0L
     var sequence = -1L
 
-    /** Until when its worker may run its tasks. */
+    /** The lease under which the worker may run its tasks. */
     val lease = WorkerLease(clocks)
 
-    /** When the last report that was answered came in; null before the first message to this leader. */
+    /**
+     * When the last answered report, or the first message of a session, arrived; null until the first message to this
+     * leader.
+     */
     var lastAnsweredReportAt: ComparableTimeMark? = null
 
-    /** When any report of it came in, also one that was not answered and so renewed no lease. */
+    /** When the last report of any kind arrived, including those that were not answered and renewed no lease. */
     var lastReportAt: ComparableTimeMark? = null
 
-    /** Since when this leader knows of it. */
+    /** When this leader learned of the machine. */
     val knownSince: ComparableTimeMark = clocks.mark()
 
-    /** The highest token its worker is known to have seen. */
+    /** The highest token that the worker has reported. */
     val token: Long get() = lease.token
     val responseDelivery = ResponseDelivery(clocks)
 
-    /** When the cloud takes a spot machine back; null without a notice. */
+    /** When the cloud reclaims the spot machine; null without an interruption notice. */
     var noticeEndsAt: ComparableTimeMark? = null
     var idleSince: ComparableTimeMark = clocks.mark()
 
-    /** When the cloud's list last held it. */
+    /** When the cloud's machine list last contained it. */
     var listedAt: ComparableTimeMark? = null
+
+    /** Whether the cloud listed it as failed. */
     var failed = false
 
-    /** On its way back to the cloud: nothing starts here any more. */
+    /** Whether it is being returned to the cloud; nothing more is started on it. */
     var returning = false
 
-    /** Starts in a row that failed here and speak against the machine. */
+    /** Consecutive task failures that are attributed to the machine rather than to the job. */
     var consecutiveFailures = 0
     val placements = LinkedHashMap<Start, PlacedTask>()
     val images = LinkedHashSet<String>()
 
-    /** Images on their way, with their gigabytes: they share the machine's rate. */
+    /** Images being fetched, with their sizes in gigabytes; concurrent fetches share the machine's bandwidth. */
     val fetchingImages = HashMap<String, Double>()
 
-    /** Whether something is on it of which nobody knows what it takes. */
-    val hasUnknownUsage: Boolean get() = unknown > 0
-    private var unknown = 0
+    /** Whether tasks of unknown jobs, and so of unknown resource needs, are on the machine. */
+    val hasUnknownUsage: Boolean get() = tasksOfUnknownJobs > 0
+    private var tasksOfUnknownJobs = 0
 
-    /** What the placed tasks take. */
+    /** The resources that the placed tasks occupy. */
     var used = Resources.NONE
         private set
 
-    /** Exited starts of this session that must stay in the worker's memory, as their command may come once more. */
+    /**
+     * Exited starts of this session that the worker must not be told to forget: a delayed command may still arrive, and
+     * a worker that forgot the start would run it again.
+     */
     val retainedStarts = HashSet<Start>()
 
     init {
         group.machines[host] = this
     }
 
-    /** The cache keeps the most recently used images, and so do we. True where the image was not held before. */
+    /** Mirrors the worker's cache, which keeps the most recently used images. True if the image was not cached. */
     fun recordImageUse(image: String): Boolean {
-        val known = images.remove(image)
+        val wasCached = images.remove(image)
         images += image
-        if (images.size > IMAGES_KEPT) images.remove(images.first())
-        return !known
+        if (images.size > MAX_CACHED_IMAGES) images.remove(images.first())
+        return !wasCached
     }
 
-    /** The task counts here from now on. */
+    /** Adds a placement and its resource usage. */
     fun add(task: PlacedTask) {
         placements[task.start] = task
         used += task.need
-        if (task.spec == null) unknown++
+        if (task.spec == null) tasksOfUnknownJobs++
     }
 
-    /** The task is gone. */
+    /** Removes a placement and its resource usage. */
     fun remove(task: PlacedTask) {
         if (placements.remove(task.start) == null) return
-        if (task.spec == null) unknown--
-        // Sums of decimals drift: an empty machine is empty.
+        if (task.spec == null) tasksOfUnknownJobs--
+        // Rounding errors add up in the sum, so an empty machine is reset to exactly none.
         used = if (placements.isEmpty()) Resources.NONE else used - task.need
         if (placements.isEmpty()) idleSince = clocks.mark()
     }
 
     private companion object {
-        const val IMAGES_KEPT = 24
+        const val MAX_CACHED_IMAGES = 24
     }
 }
 
-/** Machines rented together, which are one record. */
+/** Machines rented together, which share one record. */
 class MachineGroup(val key: String, private val market: Market, private val rentedAt: Instant) {
     val machines = LinkedHashMap<String, ManagedMachine>()
 
-    /** From this ticket on the machines are on record. */
+    /** The record of the machines is durable once this write ticket is. */
     var ticket = 0L
 
-    /** As many of the images, the last used ones, as the value limit leaves space for. */
+    /** The record, with as many of the most recently used images as fit into a value of [valueBytes]. */
     fun record(valueBytes: Int): Map<String, Any?> {
-        val space = (valueBytes - HEAD_BYTES) / machines.size - HOST_BYTES
-        return MachineGroupRecord(market, rentedAt, machines.mapValues { (_, m) -> newest(m, space) }).encode()
+        val imageBytes = (valueBytes - HEADER_BYTES) / machines.size - MACHINE_BYTES
+        return MachineGroupRecord(
+            market,
+            rentedAt,
+            machines.mapValues { (_, machine) -> latestImages(machine, imageBytes) },
+        ).encode()
     }
 
-    private fun newest(machine: ManagedMachine, space: Int): List<String> {
-        var left = space
+    private fun latestImages(machine: ManagedMachine, imageBytes: Int): List<String> {
+        var remaining = imageBytes
         return machine.images.reversed().takeWhile { image ->
-            left -= Records.size(image) + 1
-            left >= 0
+            remaining -= Records.size(image) + 1
+            remaining >= 0
         }.reversed()
     }
 
     companion object {
-        private const val HEAD_BYTES = 512
-        private const val HOST_BYTES = 32
+        private const val HEADER_BYTES = 512
+        private const val MACHINE_BYTES = 32
 
-        fun maxMachines(valueBytes: Int) = ((valueBytes - HEAD_BYTES) / HOST_BYTES).coerceAtLeast(1)
+        /** How many machines fit into one record, without images. */
+        fun maxMachines(valueBytes: Int) = ((valueBytes - HEADER_BYTES) / MACHINE_BYTES).coerceAtLeast(1)
     }
 }
--- a/src/main/kotlin/topazvale/reconcile/PlacementLedger.kt
+++ b/src/main/kotlin/topazvale/reconcile/PlacementLedger.kt
@@ -4,24 +4,24 @@
 import topazvale.model.Resources
 
 /**
- * All placements that count: every start that is, or may be, on a machine. Machine room, teams' usage, zones, what may
- * start and whether a job may end are all derived from it.
+ * All tracked placements: every start that is, or may be, on a machine. The free capacity of machines, the usage of
+ * teams, the zones of jobs, and whether a task may start or a job may finish are all derived from it.
  *
- * A task mostly has one placement. It has more where a stray, a start that is on no record, is found beside it; the
- * task is free to start only when none is left.
+ * A task usually has one placement. It has more if an orphaned task, a start without a record, is found as well; it may
+ * start again only when none is left.
  */
 class PlacementLedger {
     private val jobs = HashMap<String, JobPlacements>()
 
-    /** The placements of a job's tasks, whether or not anything else is known of the job. */
+    /** The placements of a job's tasks; the job itself may be unknown. */
     fun of(job: String): JobPlacements = jobs.getOrPut(job, ::JobPlacements)
 
-    /** The placement counts from now on, on its machine and for its task. */
+    /** Tracks a placement, for its machine and for its task. */
     fun add(placed: PlacedTask) {
         val task = placed.start.task
         val placements = of(task.job)
         val others = placements.of(task.index)
-        // What the leader itself starts must be nowhere else; a stray is found where it is.
+        // A start of the leader must be the only placement of its task; an orphaned task may be found beside others.
         if (!placed.isOrphaned && others.isNotEmpty()) {
             Invariants.reportViolation("second_placement", "${placed.start} on ${placed.machine.host} beside $others")
         }
@@ -30,23 +30,23 @@
         ClusterMetrics.placementAdded(others.size + 1)
     }
 
-    /** The placement counts no more. */
+    /** Stops tracking a placement. */
     fun remove(placed: PlacedTask) {
         placed.machine.remove(placed)
         val placements = jobs[placed.start.task.job] ?: return
         placements.remove(placed)
     }
 
-    /** The job is over; what is still found of it counts until it is gone. */
+    /** Drops the entry of a finished job unless some of its placements are still tracked. */
     fun removeIfEmpty(job: String) {
         if (jobs[job]?.isEmpty() == true) jobs.remove(job)
     }
 
-    /** What the placements take, by team; [spec] knows the jobs that are not over. */
+    /** The resources that placements occupy, by team; [spec] returns the description of an unfinished job. */
     fun usage(spec: (String) -> JobSpec?): Map<String, Resources> {
         val sums = HashMap<String, Resources>()
         for ((job, placements) in jobs) {
-            // Of a job that is over, by what was known as its placements were found.
+            // A finished job is described by its placements, as far as it was known when they were added.
             val known = spec(job) ?: placements.all.firstNotNullOfOrNull { it.spec }
             if (known == null || placements.isEmpty()) continue
             sums.merge(known.team, known.need * placements.size, Resources::plus)
@@ -54,12 +54,12 @@
         return sums
     }
 
-    /** Whether [usage] holds all placements: of those of a job that nobody knows the team is not known either. */
+    /** Whether [usage] covers all placements; it leaves out those of unknown jobs, whose team is unknown too. */
     fun isUsageComplete(spec: (String) -> JobSpec?): Boolean =
         jobs.all { (job, placements) -> spec(job) != null || placements.all.all { it.spec != null } }
 
-    /** The sums by job and by machine have to be the same. */
-    fun check(machines: Collection<ManagedMachine>) {
+    /** Checks the invariant that jobs and machines have the same number of placements in total. */
+    fun checkTotals(machines: Collection<ManagedMachine>) {
         val byJob = jobs.values.sumOf { it.size }
         val byMachine = machines.sumOf { it.placements.size }
         if (byJob != byMachine) {
@@ -70,44 +70,44 @@
 
 /** The placements of one job's tasks. */
 class JobPlacements {
-    /** Of each task the placement that was added first of those that are left. */
-    private val first = LinkedHashMap<Int, PlacedTask>()
+    /** The earliest added of the remaining placements of each task. */
+    private val primary = LinkedHashMap<Int, PlacedTask>()
 
-    /** What tasks have beside it; mostly nothing. */
-    private val further = LinkedHashMap<Int, List<PlacedTask>>()
+    /** The other placements of each task, of which there are usually none. */
+    private val extra = LinkedHashMap<Int, List<PlacedTask>>()
 
     /** The tasks that have a placement. */
-    val tasks: Set<Int> get() = first.keys
+    val tasks: Set<Int> get() = primary.keys
 
-    /** All placements. */
+    /** All placements of the job. */
     val all: Collection<PlacedTask>
-        get() = if (further.isEmpty()) first.values else first.values + further.values.flatten()
+        get() = if (extra.isEmpty()) primary.values else primary.values + extra.values.flatten()
 
     /** How many placements there are. */
-    val size: Int get() = first.size + further.values.sumOf { it.size }
+    val size: Int get() = primary.size + extra.values.sumOf { it.size }
 
-    /** Whether nothing of the job is, or may be, on any machine. */
-    fun isEmpty(): Boolean = first.isEmpty()
+    /** Whether no task of the job is, or may be, on any machine. */
+    fun isEmpty(): Boolean = primary.isEmpty()
 
-    /** Whether something is. */
-    fun isNotEmpty(): Boolean = first.isNotEmpty()
+    /** Whether a task of the job is, or may be, on a machine. */
+    fun isNotEmpty(): Boolean = primary.isNotEmpty()
 
     /** Whether the task has a placement. */
-    operator fun contains(index: Int): Boolean = index in first
+    operator fun contains(index: Int): Boolean = index in primary
 
     /** All placements of the task. */
-    fun of(index: Int): List<PlacedTask> = listOfNotNull(first[index]) + further[index].orEmpty()
+    fun of(index: Int): List<PlacedTask> = listOfNotNull(primary[index]) + extra[index].orEmpty()
 
     internal fun add(placed: PlacedTask) {
         val index = placed.start.task.index
-        if (first.putIfAbsent(index, placed) != null) further.merge(index, listOf(placed)) { old, new -> old + new }
+        if (primary.putIfAbsent(index, placed) != null) extra.merge(index, listOf(placed)) { old, new -> old + new }
     }
 
     internal fun remove(placed: PlacedTask) {
         val index = placed.start.task.index
-        val left = of(index) - placed
-        first.remove(index)
-        further.remove(index)
-        left.forEach(::add)
+        val remaining = of(index) - placed
+        primary.remove(index)
+        extra.remove(index)
+        remaining.forEach(::add)
     }
 }
--- a/src/main/kotlin/topazvale/reconcile/Rebuild.kt
+++ b/src/main/kotlin/topazvale/reconcile/Rebuild.kt
@@ -20,36 +20,36 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.TimeSource
 
-/** Rebuilds the cluster state of a new leader from what the former ones left on record; runs once, before the loops. */
+/** Rebuilds a new leader's cluster state from the records of former leaders; runs once, before the loops start. */
 class Rebuild(
     private val state: StateService,
     private val records: RecordWriter,
     private val cluster: ClusterState,
-    private val starts: StartLog,
+    private val startLog: StartLog,
     private val decisions: DecisionLog,
 ) {
     private val unreadableJobs = HashSet<String>()
 
     /**
-     * Whether all starts and machines on record could be read. Where not, tasks may run of which this leader knows
-     * nothing until their workers report them or the leases that a former leader renewed have ended.
+     * Whether all records of starts and machines could be read. If not, unknown tasks may run until their workers
+     * report them or the leases that a former leader renewed expire.
      */
     var complete = true
         private set
 
-    /** The revision from which on changes of jobs have to be watched. */
+    /** Rebuilds the cluster state; returns the revision from which the jobs must be watched. */
     suspend fun run(): Long {
-        val jobs = readAll(Keys.JOBS)
+        val jobs = listRecords(Keys.JOBS)
         jobs.entries.forEach(::loadJob)
-        // A transaction without an answer may be carried out after its key was given up: what is left of a job that is
-        // over, nobody else would remove.
+        // A transaction without a response may be carried out after the former leader stopped tracking its key. Only a
+        // rebuild removes what that leaves behind of a finished job.
         for (e in read(Keys.CHUNKS)) {
             loadChunk(e)
         }
         for (job in cluster.jobs.values) job.doneCount = job.done.cardinality()
-        for (e in read(Keys.TASK_COUNTS)) if (isOver(e.key.removePrefix(Keys.TASK_COUNTS))) records.delete(e.key)
+        for (e in read(Keys.TASK_COUNTS)) if (isFinished(e.key.removePrefix(Keys.TASK_COUNTS))) records.delete(e.key)
         for (e in read(Keys.GROUPS)) {
-            readOrIncomplete(e, MachineGroupRecord::decode)?.let { cluster.loadGroup(e.key, it) }
+            decodeOrIncomplete(e, MachineGroupRecord::decode)?.let { cluster.loadGroup(e.key, it) }
         }
         placeRecorded(read(Keys.STARTS))
         return jobs.revision
@@ -61,64 +61,65 @@
         if (record == null) unreadableJobs += id else cluster.addJob(record, entry.version)
     }
 
-    private fun isOver(id: String) = id !in cluster.jobs && id !in unreadableJobs
+    private fun isFinished(id: String) = id !in cluster.jobs && id !in unreadableJobs
 
     private fun loadChunk(entry: Entry) {
         val (id, chunk) = entry.key.removePrefix(Keys.CHUNKS).split('/')
         val job = cluster.jobs[id]
         when {
-            isOver(id) || job?.spec?.isService == true -> records.delete(entry.key)
+            isFinished(id) || job?.spec?.isService == true -> records.delete(entry.key)
 
-            // A mark that is lost costs a start more: the worker knows the result.
+            // An unreadable chunk only costs extra starts: the worker still knows the result of a task that is done.
             job != null -> Records.readOrNull(entry.key, entry.data) {
                 ChunkRecords.decodeInto(it, chunk.toInt(), job.done)
             }
         }
     }
 
-    private fun <T : Any> readOrIncomplete(entry: Entry, decode: (Map<String, Any?>) -> T): T? =
+    private fun <T : Any> decodeOrIncomplete(entry: Entry, decode: (Map<String, Any?>) -> T): T? =
         Records.readOrNull(entry.key, entry.data, decode).also { if (it == null) complete = false }
 
     private suspend fun read(prefix: String): List<Entry> =
-        readAll(prefix).entries.onEach { records.loadVersion(it.key, it.version) }
+        listRecords(prefix).entries.onEach { records.loadVersion(it.key, it.version) }
 
-    private suspend fun readAll(prefix: String): Listing {
-        val began = TimeSource.Monotonic.markNow()
-        val found = state.listAllWithRetry(prefix)
-        decisions.recordsRead(prefix, found.entries.size, found.revision, began.elapsedNow())
-        return found
+    private suspend fun listRecords(prefix: String): Listing {
+        val startedAt = TimeSource.Monotonic.markNow()
+        val listing = state.listAllWithRetry(prefix)
+        decisions.recordsRead(prefix, listing.entries.size, listing.revision, startedAt.elapsedNow())
+        return listing
     }
 
     private fun placeRecorded(entries: List<Entry>) {
         val batches = HashMap<StartBatch, List<StartRow>>()
         for (entry in entries) {
-            val rows = readOrIncomplete(entry, StartRecords::decode) ?: continue
+            val rows = decodeOrIncomplete(entry, StartRecords::decode) ?: continue
             batches[StartBatch(entry.key)] = rows
         }
-        val newest = HashMap<Any, Long>()
+        val highestAttempts = HashMap<Any, Long>()
         for (row in batches.values.flatten()) {
-            for (index in row.tasks) newest.merge(unit(row, index), row.attempt, ::maxOf)
+            for (index in row.tasks) highestAttempts.merge(startUnit(row, index), row.attempt, ::maxOf)
         }
         for ((batch, rows) in batches) {
-            for (row in rows) placeNewest(batch, row, newest)
+            for (row in rows) placeHighestAttempts(batch, row, highestAttempts)
             if (batch.live.isEmpty() && rows.none { it.job in unreadableJobs }) records.delete(batch.key)
         }
     }
 
-    private fun placeNewest(batch: StartBatch, row: StartRow, newest: Map<Any, Long>) {
+    private fun placeHighestAttempts(batch: StartBatch, row: StartRow, highestAttempts: Map<Any, Long>) {
         for (index in row.tasks) {
-            if (row.attempt == newest[unit(row, index)]) place(batch, row, index)
+            if (row.attempt == highestAttempts[startUnit(row, index)]) place(batch, row, index)
         }
     }
 
-    /** What is started as one: a whole gang, or a single task. */
-    private fun unit(row: StartRow, index: Int): Any =
+    /** The unit that is started together: a whole gang, or a single task. */
+    private fun startUnit(row: StartRow, index: Int): Any =
         if (cluster.jobs[row.job]?.spec?.isGang == true) row.job else TaskId(row.job, index)
 
     /**
-     * Nothing is left anywhere of a job that is over: its end was recorded after that. One that cannot be read is not
-     * over, and what runs of it counts. Nor is anything left on a
-     * machine that is on record no more: it was recorded before its starts, and taken off once it had gone back.
+     * Tracks a recorded start, unless its task is known to be absent. No task of a finished job is left, because its
+     * end is recorded after its last task is absent. A job whose record cannot be read is not finished, so its starts
+     * are tracked. No task is left on a machine without a record, because a machine is recorded before its starts, and
+     * its record is removed only after it is returned.
      */
     private fun place(batch: StartBatch, row: StartRow, index: Int) {
         val job = cluster.jobs[row.job]
@@ -131,20 +132,20 @@
             row.session,
             PlacementOrigin.RECORDED,
         )
-        // Of a job that cannot be read nobody knows what its user wants: like a stray it must not stay.
+        // The job's record cannot be read, so a cancellation may be missed: the task stops, like an orphaned one.
         if (job == null) placed.stopGracePeriod = Duration.ZERO
-        starts.loadRecorded(placed, batch)
+        startLog.loadRecorded(placed, batch)
         machine.session = maxOf(machine.session, row.session)
     }
 }
 
-/** All entries below a prefix, asked for until they come. */
+/** All entries below a prefix; retries until the listing succeeds. */
 suspend fun StateService.listAllWithRetry(prefix: String): Listing {
     while (true) {
-        val found = listAll(prefix)
-        if (found is Outcome.Ok) return found.value
-        delay(READ_RETRY)
+        val outcome = listAll(prefix)
+        if (outcome is Outcome.Ok) return outcome.value
+        delay(RETRY_INTERVAL)
     }
 }
 
-private val READ_RETRY = 200.milliseconds
+private val RETRY_INTERVAL = 200.milliseconds
--- a/src/main/kotlin/topazvale/reconcile/ReportProcessor.kt
+++ b/src/main/kotlin/topazvale/reconcile/ReportProcessor.kt
@@ -9,7 +9,7 @@
 import topazvale.store.RecordWriter
 import kotlin.time.Duration
 
-/** Brings the cluster state up to date with what workers report. Called for each report, on the event loop. */
+/** Applies workers' reports to the cluster state. Called on the event loop for each report. */
 class ReportProcessor(
     private val cluster: ClusterState,
     private val records: RecordWriter,
@@ -20,40 +20,40 @@
 ) {
     private val log = LoggerFactory.getLogger(ReportProcessor::class.java)
     private val decisions = DecisionLog(token)
-    private val exits = TaskExits(cluster, runTimes, clocks, token, decisions)
+    private val taskExits = TaskExits(cluster, runTimes, clocks, token, decisions)
 
-    /** Updates the cluster state; true where something changed that the scheduler may act upon. */
+    /** Applies a report; true if something changed that may let the scheduler act. */
     fun applyReport(report: Report, source: ReportSource): Boolean {
-        val machine = machine(report) ?: return false
-        val renewedBefore = machine.lease.renewedAt
+        val machine = findOrAddMachine(report) ?: return false
+        val previousRenewal = machine.lease.lastRenewedAt
         machine.lease.recordMessage(report, source, token)
         if (!isNewer(report, machine)) {
-            if (machine.lease.renewedAt != renewedBefore) overtaken(report, machine)
+            if (machine.lease.lastRenewedAt != previousRenewal) recordOutOfOrder(report, machine)
             return false
         }
-        val answered = source == ReportSource.ANSWERED
-        if (answered) machine.responseDelivery.reported(report, token, report.session == machine.session, lease)
-        val fresh = machine.lastAnsweredReportAt == null || report.session > machine.session
-        takeHead(machine, report, answered, fresh)
-        var changed = fresh || report.interruptionNotice != null
-        for (task in report.tasks) changed = takeTask(machine, report, task) || changed
-        // Under a lower token a former leader's command may still be on its way.
-        if (report.token >= token && machine.placements.isNotEmpty()) changed = dropMissing(machine, report) || changed
+        val isAnswered = source == ReportSource.ANSWERED
+        if (isAnswered) machine.responseDelivery.recordReport(report, token, report.session == machine.session, lease)
+        val isFirstOfSession = machine.lastAnsweredReportAt == null || report.session > machine.session
+        updateMachine(machine, report, isAnswered, isFirstOfSession)
+        var changed = isFirstOfSession || report.interruptionNotice != null
+        for (task in report.tasks) changed = updateTask(machine, report, task) || changed
+        // A worker that has seen only a lower token may still carry out a delayed command of a former leader.
+        if (report.token >= token && machine.placements.isNotEmpty()) changed = dropUnlisted(machine, report) || changed
         return changed
     }
 
-    /** The orders in answer to the report, which has to be the machine's newest one. */
-    fun orders(machine: ManagedMachine, report: Report) = ReportOrders(machine, report, records).list()
+    /** The orders for the response to a report, which must be the newest of its machine. */
+    fun orders(machine: ManagedMachine, report: Report) = ReportOrders(machine, report, records).compute()
 
-    /** A task is proven to be gone without a report of its exit. */
+    /** Removes a placement whose task is confirmed absent other than by a report of its exit. */
     fun removeLost(placed: PlacedTask, proof: AbsenceProof) {
         decisions.confirmedAbsent(placed, proof)
         cluster.removePlacement(placed, reported = false)
         cluster.jobs[placed.start.task.job]?.let(cluster::publishCounts)
     }
 
-    /** The machine that reports; null for one that has gone back to the cloud: such reports can only be late copies. */
-    private fun machine(report: Report): ManagedMachine? {
+    /** The machine that reports, added if unknown; null if it was returned, as such a report is a delayed copy. */
+    private fun findOrAddMachine(report: Report): ManagedMachine? {
         if (cluster.isReturned(report.host)) return null
         if (report.host !in cluster.machines) {
             log.info("unexpected machine {}", report.host)
@@ -62,28 +62,31 @@
         return cluster.machines[report.host]
     }
 
-    /** Copies come late, and from sessions that are over. */
+    /** Whether the report is newer than all before it; a delayed copy may even stem from an ended session. */
     private fun isNewer(report: Report, machine: ManagedMachine): Boolean =
         if (report.session == machine.session) report.sequence > machine.sequence else report.session > machine.session
 
-    /** The answer to a direct command came first; what the report shows is out of date, that it came is not. */
-    private fun overtaken(report: Report, machine: ManagedMachine) {
+    /**
+     * Records that the report renews the lease although a response to a direct command arrived before it. Its tasks are
+     * out of date, but its arrival shows that the worker is alive.
+     */
+    private fun recordOutOfOrder(report: Report, machine: ManagedMachine) {
         machine.lastReportAt = clocks.mark()
         machine.lastAnsweredReportAt = machine.lastReportAt
         ClusterMetrics.reportOutOfOrder()
         decisions.reportOutOfOrder(report, machine)
     }
 
-    private fun takeHead(machine: ManagedMachine, report: Report, answered: Boolean, fresh: Boolean) {
+    private fun updateMachine(machine: ManagedMachine, report: Report, isAnswered: Boolean, isFirstOfSession: Boolean) {
         if (report.session > machine.session) endSessions(machine, report.session)
-        // A machine is idle from when it is up, not from when it was asked for.
+        // The idle time of a machine starts when it is up, not when it was requested.
         if (machine.lastAnsweredReportAt == null) machine.idleSince = clocks.mark()
         machine.endpoint = report.endpoint
         machine.session = report.session
         machine.sequence = report.sequence
         machine.lastReportAt = clocks.mark()
-        if (answered || fresh) machine.lastAnsweredReportAt = machine.lastReportAt
-        if (answered) machine.placements.values.forEach { it.acknowledgeResponsesBefore(report.sequence) }
+        if (isAnswered || isFirstOfSession) machine.lastAnsweredReportAt = machine.lastReportAt
+        if (isAnswered) machine.placements.values.forEach { it.acknowledgeResponsesBefore(report.sequence) }
         machine.noticeEndsAt = report.interruptionNotice?.let { clocks.mark() + it }
     }
 
@@ -95,36 +98,36 @@
         machine.consecutiveFailures = 0
     }
 
-    private fun takeTask(machine: ManagedMachine, report: Report, task: ReportedTask): Boolean {
-        val placed = machine.placements[task.start] ?: return takeStray(machine, report, task)
+    private fun updateTask(machine: ManagedMachine, report: Report, task: ReportedTask): Boolean {
+        val placed = machine.placements[task.start] ?: return trackOrphan(machine, report, task)
         if (placed.state == task.state) return false
         placed.state = task.state
         val job = cluster.jobs[task.start.task.job]
         if (placed.hasImage && job != null) cluster.imageFetched(machine, job.spec.image)
         if (task.state == TaskState.RUNNING) placed.runningSince = clocks.mark()
-        if (task.state == TaskState.EXITED) exits.exited(placed, job, task.cause ?: ExitCause.ERROR)
+        if (task.state == TaskState.EXITED) taskExits.applyExit(placed, job, task.cause ?: ExitCause.ERROR)
         if (job != null) cluster.publishCounts(job)
         return true
     }
 
-    /** A task that is on no record must not stay, but it counts for as long as it is there. */
-    private fun takeStray(machine: ManagedMachine, report: Report, task: ReportedTask): Boolean {
+    /** Tracks a task that has no record, and stops it; it occupies its resources until it is confirmed absent. */
+    private fun trackOrphan(machine: ManagedMachine, report: Report, task: ReportedTask): Boolean {
         if (task.state == TaskState.EXITED) return false
         val job = cluster.jobs[task.start.task.job]
-        val besides = cluster.ledger.of(task.start.task.job).of(task.start.task.index)
-        val stray = cluster.place(task.start, machine, report.session, PlacementOrigin.ORPHANED)
-        stray.state = task.state
-        stray.stopGracePeriod = Duration.ZERO
-        decisions.orphanFound(stray, report, job != null, besides.map { it.machine.host })
+        val otherPlacements = cluster.ledger.of(task.start.task.job).of(task.start.task.index)
+        val orphan = cluster.place(task.start, machine, report.session, PlacementOrigin.ORPHANED)
+        orphan.state = task.state
+        orphan.stopGracePeriod = Duration.ZERO
+        decisions.orphanFound(orphan, report, job != null, otherPlacements.map { it.machine.host })
         ClusterMetrics.orphanFound()
         return true
     }
 
-    private fun dropMissing(machine: ManagedMachine, report: Report): Boolean {
-        val listed = report.tasks.mapTo(HashSet()) { it.start }
-        val missing = machine.placements.values.filter { it.start !in listed && it.isExpectedInReports }
+    private fun dropUnlisted(machine: ManagedMachine, report: Report): Boolean {
+        val listedStarts = report.tasks.mapTo(HashSet()) { it.start }
+        val unlisted = machine.placements.values.filter { it.start !in listedStarts && it.isExpectedInReports }
         val proof = AbsenceProof.NotListed(report.session, report.sequence, report.token)
-        missing.forEach { removeLost(it, proof) }
-        return missing.isNotEmpty()
+        unlisted.forEach { removeLost(it, proof) }
+        return unlisted.isNotEmpty()
     }
 }
--- a/src/main/kotlin/topazvale/reconcile/ResponseDelivery.kt
+++ b/src/main/kotlin/topazvale/reconcile/ResponseDelivery.kt
@@ -7,49 +7,54 @@
 import kotlin.time.Duration
 
 /**
- * Whether a worker hears us. That its reports come in does not show it: answers and direct commands may be lost on the
- * way back. What shows it is that a later report bears out what an earlier answer said.
+ * Tracks whether a worker receives the leader's responses. The arrival of its reports does not show that: responses and
+ * direct commands may be lost on the way to the worker. A later report that reflects an earlier response confirms it.
  */
 class ResponseDelivery(private val clocks: Clocks) {
-    private var awaited: Start? = null
-    private var unacknowledged = 0
-    private var since: ComparableTimeMark? = null
-    private var answered: ComparableTimeMark? = null
-
-    /** False once two answers in a row have left no trace. */
-    val isConfirmed: Boolean get() = unacknowledged < ANSWERS
-
-    /** For how long answers have been leaving no trace. */
-    val unconfirmedFor: Duration get() = if (isConfirmed) Duration.ZERO else since?.elapsedNow() ?: Duration.ZERO
-
-    /** A report to the leader with [ours] as its token came in; [inSession]: the worker's session has not changed. */
-    fun reported(report: Report, ours: Long, inSession: Boolean, lease: Duration) {
-        val last = answered ?: return
-        // A lease that runs out though its reports were answered all the while has not been renewed by the answers.
-        if (!inSession && last.elapsedNow() < lease / 2) return missed(ANSWERS)
-        val start = awaited
-        val acknowledged = report.token >= ours && (start == null || report.tasks.any { it.start == start })
-        if (acknowledged || report.token > ours) {
-            unacknowledged = 0
-            since = null
+    private var awaitedStart: Start? = null
+    private var unconfirmedResponses = 0
+    private var unconfirmedSince: ComparableTimeMark? = null
+    private var lastResponseAt: ComparableTimeMark? = null
+
+    /** False once two consecutive responses were not confirmed. */
+    val isConfirmed: Boolean get() = unconfirmedResponses < UNCONFIRMED_LIMIT
+
+    /** The time for which responses have been unconfirmed; zero while [isConfirmed]. */
+    val unconfirmedFor: Duration
+        get() = if (isConfirmed) Duration.ZERO else unconfirmedSince?.elapsedNow() ?: Duration.ZERO
+
+    /**
+     * Records a report to the leader, whose token is [leaderToken]. [sameSession] tells whether the session of the
+     * worker is the same as in its last report.
+     */
+    fun recordReport(report: Report, leaderToken: Long, sameSession: Boolean, lease: Duration) {
+        val lastResponse = lastResponseAt ?: return
+        // A worker begins a new session when its lease expires. If it expired although the reports were answered, the
+        // responses did not reach the worker.
+        if (!sameSession && lastResponse.elapsedNow() < lease / 2) return recordUnconfirmed(UNCONFIRMED_LIMIT)
+        val expected = awaitedStart
+        val confirmed = report.token >= leaderToken && (expected == null || report.tasks.any { it.start == expected })
+        if (confirmed || report.token > leaderToken) {
+            unconfirmedResponses = 0
+            unconfirmedSince = null
         } else {
-            missed(1)
+            recordUnconfirmed(1)
         }
-        awaited = null
+        awaitedStart = null
     }
 
-    private fun missed(count: Int) {
-        unacknowledged += count
-        if (since == null) since = clocks.mark()
+    private fun recordUnconfirmed(count: Int) {
+        unconfirmedResponses += count
+        if (unconfirmedSince == null) unconfirmedSince = clocks.mark()
     }
 
-    /** Its report was answered, with [run] among the orders. */
-    fun answered(run: Start?) {
-        answered = clocks.mark()
-        awaited = run
+    /** Records that a report was answered; [start] is the start among the orders that the next report should list. */
+    fun recordResponse(start: Start?) {
+        lastResponseAt = clocks.mark()
+        awaitedStart = start
     }
 
     private companion object {
-        const val ANSWERS = 2
+        const val UNCONFIRMED_LIMIT = 2
     }
 }
--- a/src/main/kotlin/topazvale/reconcile/ReturnedMachines.kt
+++ b/src/main/kotlin/topazvale/reconcile/ReturnedMachines.kt
@@ -1,29 +1,29 @@
 package topazvale.reconcile
 
 /**
- * The machines that went back to the cloud last. Their names are never used again, but late reports of theirs and old
- * machine lists may come.
+ * The machines most recently returned to the cloud. Their names are never reused, but delayed reports and stale machine
+ * lists may still mention them.
  *
- * Of more than [most] the oldest are forgotten: a view that is older than so many returns shows a machine that nobody
- * hears, which is returned once more and does no harm but for that.
+ * Only the last [maxSize] are remembered. A list that is older than that many returns adds a machine that never reports
+ * and is returned once more; that does no other harm.
  */
-internal class ReturnedMachines(private val most: Int = MOST) {
+internal class ReturnedMachines(private val maxSize: Int = MAX_SIZE) {
     private val names = LinkedHashSet<String>()
 
-    /** How many names are remembered. */
+    /** The number of remembered machines. */
     val size: Int get() = names.size
 
-    /** The machine has gone back. */
+    /** Adds a returned machine. */
     operator fun plusAssign(host: String) {
         names += host
-        if (names.size > most) names.remove(names.first())
+        if (names.size > maxSize) names.remove(names.first())
     }
 
-    /** Whether the machine is known to have gone back. */
+    /** Whether the machine is remembered as returned. */
     operator fun contains(host: String) = host in names
 
     private companion object {
-        /** Twice a fleet of the largest size that is planned for; about a megabyte. */
-        const val MOST = 8192
+        /** Twice the size of the largest fleet that is planned for; about a megabyte of names. */
+        const val MAX_SIZE = 8192
     }
 }
--- a/src/main/kotlin/topazvale/reconcile/StartLog.kt
+++ b/src/main/kotlin/topazvale/reconcile/StartLog.kt
@@ -6,51 +6,58 @@
 import topazvale.store.StartRecords
 import topazvale.store.StartRow
 
-/** Starts that are one record. */
+/** Starts that share one record. */
 class StartBatch(val key: String) {
+    /** The starts whose tasks are not confirmed absent. */
     val live = LinkedHashSet<PlacedTask>()
 
-    /** As recorded: what is still there, by machine, job and attempt. */
+    /** The rows of the record: the live starts, grouped by machine, job and attempt. */
     fun rows(): List<StartRow> = live.groupBy {
         Triple(it.machine, it.start.task.job, it.start.attempt)
-    }.map { (of, starts) ->
-        StartRow(of.first.host, starts.first().session, of.second, of.third, starts.map { it.start.task.index })
+    }.map { (group, starts) ->
+        StartRow(
+            group.first.host,
+            starts.first().session,
+            group.second,
+            group.third,
+            starts.map { it.start.task.index },
+        )
     }
 }
 
 /**
- * The write-ahead record of starts. All starts of a plan go into one value, so that a plan costs one change however
- * many machines it concerns; the record goes when the last of them is gone.
+ * The write-ahead record of starts. All starts of a plan go into one value, or as few as the value limit allows, so a
+ * plan costs one change however many machines it concerns. A record is deleted once all its tasks are confirmed absent.
  *
  * A record may therefore still name starts that have ended. Of a task's recorded starts only the one with the highest
- * attempt counts: it was given only once all others were proven to be gone. So it is with whole gangs.
+ * attempt is valid, because it was created only once all others were confirmed absent. The same holds for whole gangs.
  */
 class StartLog(private val records: RecordWriter, private val term: Long, private val valueBytes: Int) {
-    private var written = 0L
+    private var batchCount = 0L
 
-    /** Puts the starts of a plan on record. */
+    /** Records the starts of a plan. */
     fun record(placed: List<PlacedTask>) {
-        var open = ArrayList<PlacedTask>()
+        var pending = ArrayList<PlacedTask>()
         var bytes = 0
-        val space = valueBytes - HEAD_BYTES
-        val rows = placed.groupBy { it.machine to it.start.task.job }.flatMap { (of, starts) ->
-            starts.chunked(StartRow.maxTasks(of.first.host, of.second, space)).map { of to it }
+        val rowSpace = valueBytes - HEADER_BYTES
+        val rows = placed.groupBy { it.machine to it.start.task.job }.flatMap { (group, starts) ->
+            starts.chunked(StartRow.maxTasks(group.first.host, group.second, rowSpace)).map { group to it }
         }
-        for ((of, starts) in rows) {
-            val row = StartRow(of.first.host, 0, of.second, 0, starts.map { it.start.task.index }).estimatedBytes
-            if (open.isNotEmpty() && bytes + row > space) {
-                write(open)
-                open = ArrayList()
+        for ((group, starts) in rows) {
+            val row = StartRow(group.first.host, 0, group.second, 0, starts.map { it.start.task.index }).estimatedBytes
+            if (pending.isNotEmpty() && bytes + row > rowSpace) {
+                write(pending)
+                pending = ArrayList()
                 bytes = 0
             }
-            open += starts
+            pending += starts
             bytes += row
         }
-        if (open.isNotEmpty()) write(open)
+        if (pending.isNotEmpty()) write(pending)
     }
 
     private fun write(starts: List<PlacedTask>) {
-        val batch = StartBatch(Keys.starts("$term-${++written}"))
+        val batch = StartBatch(Keys.starts("$term-${++batchCount}"))
         batch.live += starts
         val ticket = records.put(batch.key) { content(batch) }
         for (placed in starts) {
@@ -59,14 +66,17 @@
         }
     }
 
-    /** A former leader's start: on record already. */
+    /** Registers a start that a former leader recorded. */
     fun loadRecorded(placed: PlacedTask, batch: StartBatch) {
         placed.batch = batch
         placed.ticket = 0
         batch.live += placed
     }
 
-    /** [reported]: its worker told of its exit, so that the next leader is soon told as well. */
+    /**
+     * Removes a start from its record, as its task is confirmed absent. The record is not rewritten if the worker
+     * [reported] the exit, because the next leader soon learns the same from the worker.
+     */
     fun startEnded(placed: PlacedTask, reported: Boolean) {
         val batch = placed.batch ?: return
         placed.batch = null
@@ -74,7 +84,7 @@
         when {
             batch.live.isEmpty() -> records.delete(batch.key)
 
-            // One that was written when values could be larger stays as it is: it may name starts that are over.
+            // A record written under a larger value limit is not rewritten: it may name starts that have ended.
             !reported && Records.size(content(batch)) <= valueBytes -> records.putDeferred(batch.key) { content(batch) }
         }
     }
@@ -82,6 +92,6 @@
     private fun content(batch: StartBatch) = StartRecords.encode(batch.rows())
 
     private companion object {
-        const val HEAD_BYTES = 256
+        const val HEADER_BYTES = 256
     }
 }
--- a/src/main/kotlin/topazvale/reconcile/TaskExits.kt
+++ b/src/main/kotlin/topazvale/reconcile/TaskExits.kt
@@ -5,7 +5,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** What follows from the exit of a task: its job is done, rests before it is tried again, or simply waits anew. */
+/** Applies the exit of a task to its job: the task is done, waits for a backoff, or may be started again at once. */
 internal class TaskExits(
     private val cluster: ClusterState,
     private val runTimes: RunTimes,
@@ -13,28 +13,28 @@
     private val token: Long,
     private val decisions: DecisionLog,
 ) {
-    /** The worker has reported the exit; [job] is null for one that is over. */
-    fun exited(placed: PlacedTask, job: ManagedJob?, cause: ExitCause) {
+    /** Applies an exit that the worker reported; [job] is null if the job has finished. */
+    fun applyExit(placed: PlacedTask, job: ManagedJob?, cause: ExitCause) {
         decisions.confirmedAbsent(placed, AbsenceProof.Exited(cause))
-        if (mayBeCommandedAgain(placed)) placed.machine.retainedStarts += placed.start
+        if (mayBeStartedAgain(placed)) placed.machine.retainedStarts += placed.start
         cluster.removePlacement(placed, reported = true)
         if (job == null) return
         when (cause) {
-            ExitCause.DONE -> if (job.spec.isService) replicaEnded(placed, job) else done(placed, job)
-            ExitCause.ERROR -> failed(placed, job)
-            ExitCause.NO_ROOM, ExitCause.BUSY, ExitCause.NO_SUCH -> job.notBefore = clocks.mark() + REFUSED_PAUSE
+            ExitCause.DONE -> if (job.spec.isService) applyReplicaExit(placed, job) else applySuccess(placed, job)
+            ExitCause.ERROR -> applyFailure(placed, job)
+            ExitCause.NO_ROOM, ExitCause.BUSY, ExitCause.NO_SUCH -> job.notBefore = clocks.mark() + REJECTION_BACKOFF
             ExitCause.STOPPED, ExitCause.MATES_GONE, ExitCause.INCOMPLETE -> Unit
         }
     }
 
     /**
-     * Whether a direct command that was lost may still come and start it anew, if its worker forgets it. Of a stray
-     * that this leader has started itself it is not known any more what became of the command.
+     * Whether a delayed direct command may still start the task again if its worker forgets the exit. For an orphaned
+     * task that this leader itself started, the outcome of the command is no longer known.
      */
-    private fun mayBeCommandedAgain(placed: PlacedTask) =
+    private fun mayBeStartedAgain(placed: PlacedTask) =
         placed.inDoubt || (placed.isOrphaned && Attempts.termOf(placed.start.attempt) == token)
 
-    private fun done(placed: PlacedTask, job: ManagedJob) {
+    private fun applySuccess(placed: PlacedTask, job: ManagedJob) {
         placed.runningSince?.let { runTimes.recordRun(job.spec, it.elapsedNow()) }
         placed.machine.consecutiveFailures = 0
         job.recordSuccess()
@@ -42,9 +42,9 @@
         for (index in tasks) cluster.markDone(job, index)
     }
 
-    private fun failed(placed: PlacedTask, job: ManagedJob) {
+    private fun applyFailure(placed: PlacedTask, job: ManagedJob) {
         if (job.spec.isService) {
-            replicaEnded(placed, job)
+            applyReplicaExit(placed, job)
         } else {
             job.consecutiveFailures++
             job.notBefore = clocks.mark() + backoff(job.consecutiveFailures)
@@ -52,23 +52,23 @@
         if (job.recordFailure(placed.machine.host)) placed.machine.consecutiveFailures++
     }
 
-    /** A worker that keeps a result would end the replica again at once: it rests, and the others go on. */
-    private fun replicaEnded(placed: PlacedTask, job: ManagedJob) {
+    /** A worker that still knows a result ends the replica again at once, so that replica alone waits for a backoff. */
+    private fun applyReplicaExit(placed: PlacedTask, job: ManagedJob) {
         val ran = placed.runningSince?.elapsedNow() ?: Duration.ZERO
         job.recordReplicaExit(placed.start.task.index, ran, clocks.mark(), ::backoff)
     }
 
     private companion object {
-        val REFUSED_PAUSE = 1.seconds
-        val LONGEST_BACKOFF = 30.seconds
+        val REJECTION_BACKOFF = 1.seconds
+        val MAX_BACKOFF = 30.seconds
         const val FAILURES_WITHOUT_BACKOFF = 1
-        const val MOST_DOUBLINGS = 5
+        const val MAX_DOUBLINGS = 5
 
-        /** None after the first failure, then a second, doubled with each further one. */
+        /** Zero after the first failure, one second after the next, doubled with each further one. */
         fun backoff(failures: Int): Duration {
             if (failures <= FAILURES_WITHOUT_BACKOFF) return Duration.ZERO
-            val doublings = (failures - FAILURES_WITHOUT_BACKOFF - 1).coerceAtMost(MOST_DOUBLINGS)
-            return (1.seconds * (1 shl doublings)).coerceAtMost(LONGEST_BACKOFF)
+            val doublings = (failures - FAILURES_WITHOUT_BACKOFF - 1).coerceAtMost(MAX_DOUBLINGS)
+            return (1.seconds * (1 shl doublings)).coerceAtMost(MAX_BACKOFF)
         }
     }
 }
--- a/src/main/kotlin/topazvale/reconcile/TermContext.kt
+++ b/src/main/kotlin/topazvale/reconcile/TermContext.kt
@@ -13,12 +13,12 @@
 import topazvale.supervision.SupervisedScope
 import kotlin.time.Duration
 
-/** The services that a controller calls. */
+/** Clients of the services that a controller calls. */
 class ServiceClients(val state: StateService, val cloud: CloudService, val workers: WorkerClient)
 
 /**
- * What the loops of one leadership term share. All of them run on the one event loop behind [scope], which ends with
- * the term.
+ * The settings, services and triggers that the loops of one leadership term share. All loops run on the single event
+ * loop of [scope], which ends with the term.
  */
 class TermContext(
     val settings: Settings,
@@ -32,26 +32,26 @@
     private val planRequests = Channel<Unit>(Channel.CONFLATED)
 
     /**
-     * Launches work of this term. A failure of any of it ends the term: a leader without one of its loops would hold
-     * the cluster and idle.
+     * Launches work of this term. Any failure of it ends the term, because a leader without one of its loops would keep
+     * the leadership but leave its work undone.
      */
     fun launch(name: String, work: suspend () -> Unit) {
-        scope.launchOnce(name, onFailure = { term.end() }) { unlessDeposed(work) }
+        scope.launchOnce(name, onFailure = { term.end() }) { endTermIfDeposed(work) }
     }
 
-    private suspend fun unlessDeposed(work: suspend () -> Unit) = try {
+    private suspend fun endTermIfDeposed(work: suspend () -> Unit) = try {
         work()
     } catch (e: DeposedException) {
         log.info("deposed: {}", e.message)
         term.end()
     }
 
-    /** Has the next plan made as soon as the rest after the last one is over. Called whenever the state has changed. */
+    /** Requests a plan, made once the pause after the last one is over. Called whenever the cluster state changes. */
     fun requestPlan() {
         planRequests.trySend(Unit)
     }
 
-    /** Waits until a plan is requested, for [limit] at most. */
+    /** Waits until a plan is requested, for at most [limit]. */
     suspend fun awaitPlanRequest(limit: Duration) {
         withTimeoutOrNull(limit) { planRequests.receive() }
     }
--- a/src/main/kotlin/topazvale/reconcile/TermHealth.kt
+++ b/src/main/kotlin/topazvale/reconcile/TermHealth.kt
@@ -6,56 +6,57 @@
 import topazvale.model.Clocks
 import kotlin.time.ComparableTimeMark
 
-/** Tells whether a leader is of use: one that lacks a link that others may have should give way. */
+/** Decides whether a leader should step down because it lacks a connection that another controller may have. */
 internal class TermHealth(
     private val settings: Settings,
     private val term: Term,
     private val cluster: ClusterState,
     private val clocks: Clocks,
-    private val knowsCancellations: () -> Boolean,
+    private val areCancellationsCurrent: () -> Boolean,
 ) {
     private val log = LoggerFactory.getLogger(TermHealth::class.java)
-    private var uninformedSince: ComparableTimeMark? = null
+    private var staleSince: ComparableTimeMark? = null
 
-    /** Called regularly by the planning loop. */
+    /** Whether the leader should go on; called regularly by the planning loop. */
     fun mayLead(): Boolean {
-        if (hearsNoWorker()) {
-            log.warn("no worker is heard any more: another controller may reach them")
+        if (hasLostAllWorkers()) {
+            log.warn("no worker is responsive any more: another controller may reach them")
             return false
         }
-        if (isUninformed()) {
-            log.warn("the watch of the jobs is silent: another controller may be served")
+        if (isWatchStale()) {
+            log.warn("the watch of the jobs is stale: the state service may be available to another controller")
             return false
         }
         return true
     }
 
     /**
-     * A leader that reaches the state service but none of its workers must not hold the cluster: their leases would run
-     * out under it. One silent machine says nothing; all of them together do.
+     * Whether all workers are unresponsive. A leader that reaches the state service but no worker must step down, as
+     * the workers' leases would expire under it. A single unresponsive machine is no evidence of that.
      */
-    private fun hearsNoWorker(): Boolean {
-        val limit = settings.workers.lease * SILENT_LEASES
+    private fun hasLostAllWorkers(): Boolean {
+        val limit = settings.workers.lease * UNRESPONSIVE_LEASES
         val known = cluster.machines.values.filter { it.session > 0 && !it.returning }
         return known.size > 1 && known.all { machine ->
-            val silent = (machine.lastReportAt ?: machine.knownSince).elapsedNow() > limit
-            silent || machine.responseDelivery.unconfirmedFor > limit
+            val isUnresponsive = (machine.lastReportAt ?: machine.knownSince).elapsedNow() > limit
+            isUnresponsive || machine.responseDelivery.unconfirmedFor > limit
         }
     }
 
     /**
-     * Renewals succeed while the watch says nothing. During an outage renewals fail too, and nobody is served better.
+     * Whether the watch has been stale for too long while renewals of the lease succeed. During an outage of the state
+     * service renewals fail as well, and no other controller would do better.
      */
-    private fun isUninformed(): Boolean {
-        if (!term.holdsLease || knowsCancellations()) {
-            uninformedSince = null
+    private fun isWatchStale(): Boolean {
+        if (!term.holdsLease || areCancellationsCurrent()) {
+            staleSince = null
             return false
         }
-        val since = uninformedSince ?: clocks.mark().also { uninformedSince = it }
-        return since.elapsedNow() > settings.workers.lease * SILENT_LEASES
+        val since = staleSince ?: clocks.mark().also { staleSince = it }
+        return since.elapsedNow() > settings.workers.lease * UNRESPONSIVE_LEASES
     }
 
     private companion object {
-        const val SILENT_LEASES = 0.5
+        const val UNRESPONSIVE_LEASES = 0.5
     }
 }
--- a/src/main/kotlin/topazvale/reconcile/WorkerClient.kt
+++ b/src/main/kotlin/topazvale/reconcile/WorkerClient.kt
@@ -16,11 +16,11 @@
 
 /** Sends commands directly to a worker. */
 interface WorkerClient {
-    /** The worker's report after the orders, or where it refused them; null where it gave no word. */
+    /** Sends orders; returns the worker's report after it carried out or refused them, or null without a response. */
     suspend fun command(endpoint: String, token: Long, session: Long, orders: List<Order>): Report?
 }
 
-/** The same over HTTP. */
+/** Sends commands over HTTP. */
 class HttpWorkerClient(vertx: Vertx, sockets: Sockets) : WorkerClient {
     private val log = LoggerFactory.getLogger(HttpWorkerClient::class.java)
     private val http =
@@ -35,20 +35,20 @@
     override suspend fun command(endpoint: String, token: Long, session: Long, orders: List<Order>): Report? {
         val address = Address(endpoint.substringBeforeLast(':'), endpoint.substringAfterLast(':').toInt())
         val body = WorkerWire.encodeCommands(token, session, orders)
-        val reply = http.call(address, Call(HttpMethod.POST, "/commands", body, LIMIT))
+        val reply = http.call(address, Call(HttpMethod.POST, "/commands", body, TIMEOUT))
         if (reply == null || (reply.status != HttpStatus.OK && reply.status != HttpStatus.CONFLICT)) return null
         return try {
             WorkerWire.decodeReport(reply.body)
         } catch (e: MalformedException) {
-            log.warn("the answer of {} cannot be read: {}", endpoint, e.message)
+            log.warn("the response of {} cannot be read: {}", endpoint, e.message)
             null
         }
     }
 
     private companion object {
-        val LIMIT = 2.seconds
+        val TIMEOUT = 2.seconds
 
-        /** Sockets are few beside workers. */
+        /** Short, as there are far fewer sockets than workers. */
         const val KEEP_ALIVE_S = 5
     }
 }
--- a/src/main/kotlin/topazvale/reconcile/WorkerLease.kt
+++ b/src/main/kotlin/topazvale/reconcile/WorkerLease.kt
@@ -7,69 +7,69 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * By what a term judges workers' leases: [token] is the term's own, and until [formerLeaderUntil] a worker that has not
- * seen it may run on a lease that a former leader renewed.
+ * The rules by which a term judges workers' leases. Until [formerLeaderUntil], a worker that has not seen the term's
+ * [token] may run on a lease that a former leader renewed.
  */
 class LeaseRules(val token: Long, workerLease: Duration, val formerLeaderUntil: ComparableTimeMark) {
-    /** For how long after a message that may have renewed it a lease can last at the most. */
-    val longest: Duration = longest(workerLease)
+    /** How long a lease can last after a message that may have renewed it. */
+    val maxDuration: Duration = maxDuration(workerLease)
 
     companion object {
-        /** Beyond the lease, for what a report is on its way. */
+        /** Added to the lease for the time that a report takes to arrive. */
         private val EXPIRY_MARGIN = 500.milliseconds
 
-        /** Steady clocks differ by up to 0.05%, ours and the worker's. */
-        private const val CLOCK_DRIFT = 1.001
+        /** Steady clocks run up to 0.05% fast or slow, both the leader's and the worker's. */
+        private const val MAX_CLOCK_DRIFT = 1.001
 
-        /** The longest that a lease of [workerLease] can last by our clock. */
-        fun longest(workerLease: Duration): Duration = workerLease * CLOCK_DRIFT + EXPIRY_MARGIN
+        /** How long a lease of [workerLease] can last by the leader's clock. */
+        fun maxDuration(workerLease: Duration): Duration = workerLease * MAX_CLOCK_DRIFT + EXPIRY_MARGIN
     }
 }
 
 /**
- * Until when a worker may still run its tasks. This type alone decides it, so that it is told of every message of the
- * worker, in whatever order they come.
+ * Tracks until when a worker may run its tasks. No other type decides that, so every message of the worker is recorded
+ * here, whatever the order of arrival.
  *
- * A worker's lease lasts from when it *sent* the last report that was answered. A report that is answered therefore
- * counts from when it came in, also where the answer to a direct command has overtaken it: the worker reads the answer
- * all the same. A report that is not newer than one answered before renews nothing: the worker has one in flight at a
- * time, and drops the answer to any other.
+ * A worker's lease starts when it *sends* the last report that is answered. An answered report therefore renews the
+ * lease from its arrival, even if it is out of order because the response to a direct command arrived first: the worker
+ * still reads the response. A report that is not newer than one answered before renews nothing, because the worker has
+ * one report in flight at a time and drops the response to any other.
  */
 class WorkerLease(private val clocks: Clocks) {
-    /** When the last message came in that may have renewed the lease; null before the first to this leader. */
-    var renewedAt: ComparableTimeMark? = null
+    /** When the last message that may have renewed the lease arrived; null until the first to this leader. */
+    var lastRenewedAt: ComparableTimeMark? = null
         private set
 
-    /** The highest token that the worker is known to have seen. */
+    /** The highest token that the worker has reported. */
     var token = 0L
         private set
     private var session = 0L
-    private var answeredSequence = NONE
+    private var answeredSequence = NO_SEQUENCE
 
-    /** Takes note of a message of the worker, which answers come from the leader with the token [ours]. */
-    fun recordMessage(report: Report, source: ReportSource, ours: Long) {
-        // The worker has ended that session, and drops what answers its reports.
+    /** Records a message of the worker to the leader whose token is [leaderToken]. */
+    fun recordMessage(report: Report, source: ReportSource, leaderToken: Long) {
+        // The worker has ended that session and drops responses to its reports.
         if (report.session < session) return
-        val firstOfSession = renewedAt == null || report.session > session
-        if (firstOfSession) beginSession(report.session)
-        // Until the worker saw our token a former leader may have renewed its lease.
-        val firstOfToken = token < ours && report.token >= ours
+        val isFirstOfSession = lastRenewedAt == null || report.session > session
+        if (isFirstOfSession) beginSession(report.session)
+        // Until the worker saw this leader's token, a former leader may have renewed the lease.
+        val isFirstOfToken = token < leaderToken && report.token >= leaderToken
         token = maxOf(token, report.token)
-        if (isAnsweredNow(report, source) || firstOfSession || firstOfToken) renewedAt = clocks.mark()
+        if (isAnsweredNow(report, source) || isFirstOfSession || isFirstOfToken) lastRenewedAt = clocks.mark()
     }
 
     /** Whether the worker may still run its tasks. */
     fun mayRun(rules: LeaseRules): Boolean {
-        val renewedByFormer = if (token >= rules.token) null else rules.formerLeaderUntil
-        val renewedByUs = renewedAt?.let { it + rules.longest }
-        return listOfNotNull(renewedByFormer, renewedByUs).any { it.hasNotPassedNow() }
+        val formerLeaderExpiry = if (token >= rules.token) null else rules.formerLeaderUntil
+        val ownExpiry = lastRenewedAt?.let { it + rules.maxDuration }
+        return listOfNotNull(formerLeaderExpiry, ownExpiry).any { it.hasNotPassedNow() }
     }
 
-    /** What [mayRun] goes by. */
+    /** The evidence on which [mayRun] decides. */
     fun grounds(rules: LeaseRules) =
-        LeaseGrounds(session, answeredSequence, token, renewedAt?.elapsedNow(), rules.longest)
+        LeaseGrounds(session, answeredSequence, token, lastRenewedAt?.elapsedNow(), rules.maxDuration)
 
-    /** Whether the report is one that the worker waits for an answer to, and gets it. */
+    /** Whether the report is answered and the worker accepts the response. */
     private fun isAnsweredNow(report: Report, source: ReportSource): Boolean {
         if (source != ReportSource.ANSWERED || report.sequence <= answeredSequence) return false
         answeredSequence = report.sequence
@@ -78,23 +78,23 @@
 
     private fun beginSession(number: Long) {
         session = number
-        answeredSequence = NONE
+        answeredSequence = NO_SEQUENCE
     }
 
     private companion object {
-        /** Less than any sequence number. */
-        const val NONE = -1L
+        /** Lower than any sequence number. */
+        const val NO_SEQUENCE = -1L
     }
 }
 
-/** How a worker's report came in. */
+/** How a report of a worker arrived. */
 enum class ReportSource {
-    /** As a report that is answered, which renews its worker's lease. */
+    /** As a report that is answered; the response renews the worker's lease. */
     ANSWERED,
 
-    /** As a report that may not be answered, as that would renew its worker's lease. */
+    /** As a report that must not be answered, because a response would renew the worker's lease. */
     UNANSWERED,
 
-    /** As the answer to a direct command, which renews nothing. */
+    /** As the response to a direct command, which does not renew the lease. */
     DIRECT,
 }
--- a/src/test/kotlin/topazvale/reconcile/DirectCommandsTest.kt
+++ b/src/test/kotlin/topazvale/reconcile/DirectCommandsTest.kt
@@ -41,15 +41,18 @@
 
     private val market = Market("plain", "a", spot = false)
 
-    /** A former leader cut off from everything but its workers keeps them until each has seen a higher token. */
+    /**
+     * Guards against workers that stay with a former leader: cut off from everything but them, it answers their reports
+     * until each has seen a higher token.
+     */
     @Test
-    fun `a worker that a former leader may hold is told of the new one until it has heard`() {
-        val told = ArrayList<String>()
+    fun `a worker of a former leader gets the new token repeatedly until it reports it`() {
+        val commanded = ArrayList<String>()
         val client = object : WorkerClient {
             override suspend fun command(endpoint: String, token: Long, session: Long, orders: List<Order>): Report? {
-                told += endpoint
-                // The first word gets lost.
-                if (told.count { it == endpoint } < 2) return null
+                commanded += endpoint
+                // The first command to each worker is lost.
+                if (commanded.count { it == endpoint } < 2) return null
                 return Report("n-old", endpoint, market, session, 1, token, null, emptyList())
             }
         }
@@ -70,11 +73,11 @@
             val context =
                 TermContext(settings, term, services, Sockets(100, fixedConnections = 0), supervised, Clocks.SYSTEM)
             val directCommands = DirectCommands(context, records, cluster, reports) { true }
-            val raising = launch { directCommands.propagateToken(1.minutes) }
+            val propagation = launch { directCommands.propagateToken(1.minutes) }
             withTimeout(30.seconds) { while (cluster.machines.getValue("n-old").token < 7) delay(20.milliseconds) }
-            raising.cancel()
+            propagation.cancel()
             supervised.cancel()
         }
-        assertEquals(listOf("n-old", "n-old"), told, "what was rented by the new leader has known no other")
+        assertEquals(listOf("n-old", "n-old"), commanded, "a machine rented by the new leader has had no other leader")
     }
 }
--- a/src/test/kotlin/topazvale/reconcile/PlacementLedgerTest.kt
+++ b/src/test/kotlin/topazvale/reconcile/PlacementLedgerTest.kt
@@ -39,54 +39,54 @@
     private fun job(id: String) = cluster.addJob(JobRecord(Samples.array.copy(id = id), Samples.now, JobStatus.LIVE), 1)
 
     @Test
-    fun `in whichever order a task's placements go, it is free when none is left`() {
-        for (firstGoesFirst in listOf(true, false)) {
-            val job = job("job-$firstGoesFirst")
+    fun `a task may start again only when none of its placements is left, in whatever order they are removed`() {
+        for (inOrder in listOf(true, false)) {
+            val job = job("job-$inOrder")
             val placements = listOf(
                 place("n-1", 5, PlacementOrigin.STARTED, job.spec.id),
                 place("n-2", 4, PlacementOrigin.ORPHANED, job.spec.id),
             )
-            val order = if (firstGoesFirst) placements else placements.reversed()
+            val order = if (inOrder) placements else placements.reversed()
             assertEquals(2, job.placements.size)
             cluster.removePlacement(order[0], reported = true)
-            assertTrue(0 in job.placements, "$firstGoesFirst")
+            assertTrue(0 in job.placements, "$inOrder")
             assertEquals(listOf(order[1]), job.placements.of(0))
             cluster.removePlacement(order[1], reported = true)
-            assertFalse(0 in job.placements, "$firstGoesFirst")
+            assertFalse(0 in job.placements, "$inOrder")
             assertEquals(emptyMap<String, Resources>(), cluster.usage())
         }
     }
 
     @Test
-    fun `what is left of a job that is over takes of its team's limit until it is gone`() {
+    fun `placements of a finished job count towards the usage of its team until they are removed`() {
         job("job-1")
-        val stray = place("n-1", 4, PlacementOrigin.ORPHANED)
+        val orphan = place("n-1", 4, PlacementOrigin.ORPHANED)
         cluster.registry.markEnded("job-1", revision = 2, RecordSource.READ)
         assertEquals(mapOf("red" to Samples.array.need), cluster.usage())
-        cluster.removePlacement(stray, reported = true)
+        cluster.removePlacement(orphan, reported = true)
         assertEquals(emptyMap<String, Resources>(), cluster.usage())
     }
 
     @Test
-    fun `a job that becomes known has the placements that were found before`() {
-        val stray = place("n-1", 4, PlacementOrigin.ORPHANED)
-        assertTrue(cluster.machines.getValue("n-1").hasUnknownUsage, "nobody knows what it takes")
+    fun `a job that becomes known has the placements that were found before it`() {
+        val orphan = place("n-1", 4, PlacementOrigin.ORPHANED)
+        assertTrue(cluster.machines.getValue("n-1").hasUnknownUsage, "its resource needs are unknown")
         assertTrue(0 in job("job-1").placements)
-        cluster.removePlacement(stray, reported = true)
+        cluster.removePlacement(orphan, reported = true)
         assertFalse(cluster.machines.getValue("n-1").hasUnknownUsage)
     }
 
     @Test
     @Tag(InvariantExtension.VIOLATES)
-    fun `a second placement that the leader itself starts, and sums that differ, are violations`() {
+    fun `a second placement that the leader starts, and totals that differ, are invariant violations`() {
         val before = InvariantExtension.violations()
         job("job-1")
         place("n-1", 5, PlacementOrigin.STARTED)
-        cluster.ledger.check(cluster.machines.values)
+        cluster.ledger.checkTotals(cluster.machines.values)
         assertEquals(before, InvariantExtension.violations())
         place("n-2", 6, PlacementOrigin.STARTED)
         assertEquals(before + 1, InvariantExtension.violations())
-        cluster.ledger.check(cluster.machines.values.take(1))
+        cluster.ledger.checkTotals(cluster.machines.values.take(1))
         assertEquals(before + 2, InvariantExtension.violations())
     }
 }
--- a/src/test/kotlin/topazvale/reconcile/RebuildTest.kt
+++ b/src/test/kotlin/topazvale/reconcile/RebuildTest.kt
@@ -36,8 +36,8 @@
 
     private fun put(key: String, data: Map<String, Any?>) = store.commit(emptyList(), listOf(Change.Put(key, data)))
 
-    private inner class Leader(token: Long, valueBytes: Int = VALUE) {
-        val records = RecordWriter(state, Condition(Keys.LEADER, 0), if (valueBytes == VALUE) 16 else 8)
+    private inner class Leader(token: Long, valueBytes: Int = VALUE_BYTES) {
+        val records = RecordWriter(state, Condition(Keys.LEADER, 0), if (valueBytes == VALUE_BYTES) 16 else 8)
         val starts = StartLog(records, token, valueBytes)
         val cluster = ClusterState(records, starts, valueBytes, Clocks.SYSTEM)
 
@@ -46,13 +46,13 @@
         fun rebuilt() = also { runBlocking { rebuild.run() } }
     }
 
-    private fun job(spec: JobSpec) =
+    private fun putJob(spec: JobSpec) =
         put(Keys.job(spec.id), JobRecords.encode(JobRecord(spec, Samples.now, JobStatus.LIVE)))
 
     @Test
-    fun `of what is on record only starts that may still be there count`() {
-        job(Samples.array)
-        job(Samples.gang)
+    fun `a rebuild tracks only recorded starts whose tasks may still be on their machines`() {
+        putJob(Samples.array)
+        putJob(Samples.gang)
         put(
             Keys.group("r-1"),
             MachineGroupRecord(market, Samples.now, mapOf("n-1" to listOf("img"), "n-2" to emptyList())).encode(),
@@ -69,22 +69,22 @@
         )
         for ((key, value) in rows) put(key, StartRecords.encode(value))
         val cluster = Leader(2).rebuilt().cluster
-        val there = cluster.machines.values.flatMap { m ->
+        val tracked = cluster.machines.values.flatMap { m ->
             m.placements.keys.map { Triple(m.host, it.task.toString(), it.attempt) }
         }
         val expected = setOf(
             Triple("n-1", "job-1/0", 10L), // the only start of its task
-            Triple("n-2", "job-1/1", 20L), // begun anew elsewhere; job-1/3 is done
-            Triple("n-1", "job-2/0", 21L), // the gang began anew as a whole
-        ) // job-over has ended, and n-gone went back before its group was written without it
-        assertEquals(expected, there.toSet())
+            Triple("n-2", "job-1/1", 20L), // started again on another machine; job-1/3 is done
+            Triple("n-1", "job-2/0", 21L), // the whole gang was started again
+        ) // job-over has finished, and n-gone was returned before its group was written without it
+        assertEquals(expected, tracked.toSet())
         assertEquals(setOf("img"), cluster.machines.getValue("n-1").images.toSet())
         assertEquals(2L, cluster.machines.getValue("n-2").session)
     }
 
     @Test
-    fun `records that cannot be read are kept, and what is missing for them is known`() {
-        job(Samples.array)
+    fun `unreadable records are kept, and a rebuild that lacks starts or machines is incomplete`() {
+        putJob(Samples.array)
         put(Keys.job("job-3"), mapOf("job" to mapOf("uid" to "job-3"), "at" to 5L, "status" to "LIVE"))
         put(Keys.chunk("job-3", 0), mapOf("done" to "AQ=="))
         put(Keys.taskCounts("job-3"), mapOf("done" to 1, "running" to 1))
@@ -92,10 +92,10 @@
         put(Keys.group("r-1"), MachineGroupRecord(market, Samples.now, mapOf("n-1" to emptyList())).encode())
         put("s/1-1", StartRecords.encode(listOf(StartRow("n-1", 1, "job-3", 10, listOf(0)))))
         val readable = Leader(2).rebuilt()
-        assertTrue(readable.rebuild.complete, "of all starts and machines it is known where they are")
+        assertTrue(readable.rebuild.complete, "all records of starts and machines are readable")
         assertEquals(setOf("job-1"), readable.cluster.jobs.keys)
         runBlocking { repeat(3) { readable.records.flushDeferred() } }
-        assertEquals(7, store.values.size, "what belongs to a job that is not over stays: ${store.values.keys}")
+        assertEquals(7, store.values.size, "the records of an unfinished job stay: ${store.values.keys}")
         for ((key, data) in mapOf("s/1-2" to mapOf("starts" to "?"), "m/r-2" to mapOf("type" to 7))) {
             put(key, data)
             assertFalse(Leader(3).rebuilt().rebuild.complete, key)
@@ -105,7 +105,7 @@
     }
 
     @Test
-    fun `a plan's starts are few values, which go when the last start is gone`() {
+    fun `the starts of a plan take few values, which are deleted once the last start is removed`() {
         val leader = Leader(1)
         val many = Samples.array.copy(tasks = 3000)
         leader.cluster.addJob(JobRecord(many, Samples.now, JobStatus.LIVE), 1)
@@ -119,21 +119,21 @@
             )
         }
         leader.starts.record(placed)
-        assertTrue(placed.none { it.mayBeSent(leader.records) }, "no command leaves before it is written")
+        assertTrue(placed.none { it.mayBeSent(leader.records) }, "no command is sent before its start is durable")
         runBlocking { leader.records.flush() }
         assertTrue(placed.all { it.mayBeSent(leader.records) })
         val keys = store.values.keys.filter { it.startsWith(Keys.STARTS) }
         assertTrue(keys.size in 2..6, "$keys")
-        for (key in keys) assertTrue(Records.size(store.values[key]?.data) < VALUE)
+        for (key in keys) assertTrue(Records.size(store.values[key]?.data) < VALUE_BYTES)
         placed.forEach { leader.cluster.removePlacement(it, reported = true) }
         runBlocking { repeat(3) { leader.records.flushDeferred() } }
         assertTrue(store.values.keys.none { it.startsWith(Keys.STARTS) })
     }
 
     @Test
-    fun `what was written when values could be larger is read, and nothing larger than they may be is written`() {
+    fun `values from a time of a larger limit are read, and no value above the current limit is written`() {
         val many = Samples.array.copy(tasks = 2000, types = List(200) { "type-$it" }, zone = null)
-        job(many)
+        putJob(many)
         put(
             Keys.group("r-1"),
             MachineGroupRecord(
@@ -153,13 +153,13 @@
                 },
             ),
         )
-        assertTrue(store.values.values.maxOf { Records.size(it.data) } > SMALL)
-        store.mostBytes = SMALL
+        assertTrue(store.values.values.maxOf { Records.size(it.data) } > SMALL_VALUE_BYTES)
+        store.mostBytes = SMALL_VALUE_BYTES
         store.mostOps = 8
-        val leader = Leader(2, SMALL).rebuilt()
+        val leader = Leader(2, SMALL_VALUE_BYTES).rebuilt()
         val machines = leader.cluster.machines
         assertEquals(1000, machines.values.sumOf { it.placements.size })
-        // Some are lost without a word, a machine learns an image, and many starts more go to one machine.
+        // Some starts end without a report, one machine fetches an image, and another gets many more starts.
         machines.values.take(5).forEach { m ->
             m.placements.values.toList().forEach { leader.cluster.removePlacement(it, reported = false) }
         }
@@ -173,33 +173,33 @@
             withTimeout(10.seconds) { repeat(10) { leader.records.flushDeferred() } }
         }
         assertTrue(placed.all { it.mayBeSent(leader.records) })
-        val next = Leader(3, SMALL).rebuilt().cluster
+        val next = Leader(3, SMALL_VALUE_BYTES).rebuilt().cluster
         assertEquals(400, next.machines.getValue("n-1").placements.keys.count { it.attempt == 99L })
     }
 
     @Test
-    fun `the end of a large job fits into the smaller transactions, and what it leaves is removed`() {
+    fun `the end of a large job fits into smaller transactions, and its remaining records are deleted later`() {
         val large = Samples.array.copy(tasks = 100_000)
-        job(large)
-        val leader = Leader(2, SMALL).rebuilt()
-        val of = leader.cluster.jobs.getValue(large.id)
-        for (i in 0 until large.tasks) leader.cluster.markDone(of, i)
-        leader.cluster.publishCounts(of)
-        store.mostBytes = SMALL
+        putJob(large)
+        val leader = Leader(2, SMALL_VALUE_BYTES).rebuilt()
+        val managed = leader.cluster.jobs.getValue(large.id)
+        for (i in 0 until large.tasks) leader.cluster.markDone(managed, i)
+        leader.cluster.publishCounts(managed)
+        store.mostBytes = SMALL_VALUE_BYTES
         store.mostOps = 8
         runBlocking {
             withTimeout(10.seconds) { repeat(6) { leader.records.flushDeferred() } }
             assertEquals(13, store.values.keys.count { it.startsWith(Keys.CHUNKS) })
             JobLifecycle(state, leader.records, leader.cluster, Clocks.SYSTEM) {}.finalizeJobs {}
             assertEquals("DONE", store.get(Keys.final(large.id))?.data?.get("status"))
-            assertTrue(store.values.keys.any { it.startsWith(Keys.CHUNKS) }, "not all at once")
+            assertTrue(store.values.keys.any { it.startsWith(Keys.CHUNKS) }, "some chunks do not fit")
             withTimeout(10.seconds) { repeat(6) { leader.records.flushDeferred() } }
         }
         assertEquals(listOf(Keys.final(large.id)), store.values.keys.toList())
     }
 
     private companion object {
-        const val VALUE = 8192
-        const val SMALL = 2048
+        const val VALUE_BYTES = 8192
+        const val SMALL_VALUE_BYTES = 2048
     }
 }
--- a/src/test/kotlin/topazvale/reconcile/ReturnedMachinesTest.kt
+++ b/src/test/kotlin/topazvale/reconcile/ReturnedMachinesTest.kt
@@ -5,8 +5,8 @@
 
 class ReturnedMachinesTest {
     @Test
-    fun `the machines that went back last are remembered, and memory does not grow with all of them`() {
-        val returned = ReturnedMachines(most = 3)
+    fun `only the most recently returned machines are remembered, so memory stays bounded`() {
+        val returned = ReturnedMachines(maxSize = 3)
         for (number in 1..5) returned += "n-$number"
         returned += "n-4"
         assertEquals(listOf(false, false, true, true, true), (1..5).map { "n-$it" in returned })
