--- a/src/main/kotlin/topazvale/reconcile/Attempts.kt
+++ b/src/main/kotlin/topazvale/reconcile/Attempts.kt
@@ -1,12 +1,15 @@
 package topazvale.reconcile
 
-/** How attempts are numbered: each names the term in which it was given. Both versions of an upgrade do so. */
+/**
+ * Numbering of attempts: every attempt contains the token of the leadership term that issued it. Both versions of a
+ * rolling upgrade use the same encoding.
+ */
 object Attempts {
-    private const val PER_TERM = 1L shl 28
+    private const val ATTEMPTS_PER_TERM = 1L shl 28
 
-    /** The attempt with this number of a term. */
-    fun of(term: Long, number: Long): Long = term * PER_TERM + number
+    /** Returns the attempt with this sequence number within a term. */
+    fun of(term: Long, number: Long): Long = term * ATTEMPTS_PER_TERM + number
 
-    /** The token of the term in which the attempt was given. */
-    fun termOf(attempt: Long): Long = attempt / PER_TERM
+    /** Returns the token of the term that issued the attempt. */
+    fun termOf(attempt: Long): Long = attempt / ATTEMPTS_PER_TERM
 }
--- a/src/main/kotlin/topazvale/reconcile/DecisionLog.kt
+++ b/src/main/kotlin/topazvale/reconcile/DecisionLog.kt
@@ -8,8 +8,8 @@
 import kotlin.time.Duration
 
 /**
- * The decisions of a leadership term as structured log events: an event's name with key=value pairs for the ground on
- * which the decision was allowed. Decisions about machines are logged at `info`, those about single tasks at `debug`.
+ * Logs the decisions of a leadership term as structured events: an event name with key=value pairs that state why the
+ * decision was allowed. Decisions about machines are logged at `info`, those about single tasks at `debug`.
  */
 class DecisionLog(private val token: Long) {
     private val log = LoggerFactory.getLogger(DecisionLog::class.java)
@@ -20,14 +20,14 @@
             .log("records_read")
     }
 
-    /** The cluster state was rebuilt; [complete]: from records that could all be read. */
+    /** The cluster state was rebuilt. It is [complete] if all start and machine records were readable. */
     fun rebuilt(cluster: ClusterState, complete: Boolean) = event(log.atInfo()) {
         add("jobs", cluster.jobs.size).add("machines", cluster.machines.size)
             .add("placements", cluster.machines.values.sumOf { it.placements.size }).add("complete", complete)
             .log("rebuilt")
     }
 
-    /** The starts of a plan were put on record. */
+    /** The starts of a plan were added to the start log. */
     fun startsPlanned(starts: List<PlacedTask>, leaseAge: Duration, watchAge: Duration) = event(log.atInfo()) {
         add("starts", starts.size).add("machines", starts.mapTo(HashSet()) { it.machine.host }.size)
             .add("leaseAge", leaseAge).add("watchAge", watchAge)
@@ -39,31 +39,31 @@
         placement(placed).add("seenAge", placed.machine.lastReportAt.age).log("assigned")
     }
 
-    /** A task is to stop. */
-    fun stopRequested(placed: PlacedTask, reason: StopReason, grace: Duration) = event(log.atDebug()) {
-        placement(placed).add("reason", reason).add("grace", grace).log("stop_wanted")
+    /** A task is to stop within the termination grace period. */
+    fun stopRequested(placed: PlacedTask, reason: StopReason, gracePeriod: Duration) = event(log.atDebug()) {
+        placement(placed).add("reason", reason).add("grace", gracePeriod).log("stop_wanted")
     }
 
-    /** A placement stops counting. */
+    /** A placement is no longer tracked: its task is confirmed absent from the machine. */
     fun confirmedAbsent(placed: PlacedTask, proof: AbsenceProof) = event(log.atDebug()) {
         placement(placed).add("proof", proof).log("placement_gone")
     }
 
-    /** A machine is given up: its worker's lease is over. */
+    /** A machine was declared lost: its worker's lease has expired. */
     fun machineLost(machine: ManagedMachine, grounds: LeaseGrounds) = event(log.atInfo()) {
         add("machine", machine.host).add("tasks", machine.placements.size).add("grounds", grounds)
             .log("machine_given_up")
     }
 
-    /** A task is on a machine, and on no record; [besides]: the machines of the task's other placements. */
-    fun orphanFound(placed: PlacedTask, report: Report, jobKnown: Boolean, besides: List<String>) =
+    /** An orphaned task was found on a machine; [otherHosts] are the machines of the task's other placements. */
+    fun orphanFound(placed: PlacedTask, report: Report, jobKnown: Boolean, otherHosts: List<String>) =
         event(log.atWarn()) {
             placement(placed).add("sequence", report.sequence).add("workerToken", report.token)
-                .add("jobKnown", jobKnown).add("besides", besides)
+                .add("jobKnown", jobKnown).add("besides", otherHosts)
                 .log("stray_task")
         }
 
-    /** A report was answered though something newer had been heard of its worker. */
+    /** A report was answered after a newer message of its worker had been received. */
     fun reportOutOfOrder(report: Report, machine: ManagedMachine) = event(log.atDebug()) {
         add("machine", report.host).add("session", report.session).add("sequence", report.sequence)
             .add("newest", "${machine.session}.${machine.sequence}").add("newestAge", machine.lastReportAt.age)
@@ -89,8 +89,8 @@
 /** Why a task is to stop. */
 enum class StopReason { JOB_OVER, GANG_BROKEN, MACHINE_TAKEN, PREEMPTED, STRAY }
 
-/** One more key=value pair of an event. */
+/** Adds a key=value pair to the event. */
 internal fun LoggingEventBuilder.add(key: String, value: Any?): LoggingEventBuilder = addKeyValue(key, value)
 
-/** How long ago that was; null for what has not been. */
+/** Time elapsed since the mark; null without a mark. */
 internal val ComparableTimeMark?.age: Duration? get() = this?.elapsedNow()
--- a/src/main/kotlin/topazvale/reconcile/Invariants.kt
+++ b/src/main/kotlin/topazvale/reconcile/Invariants.kt
@@ -3,13 +3,16 @@
 import io.micrometer.core.instrument.Metrics
 import org.slf4j.LoggerFactory
 
-/** What must hold at any time, whatever fails. A violation is logged at `error` and counted; tests fail on it. */
+/**
+ * Reports violations of conditions that hold at any time, whatever fails. A violation is logged at `error` and counted;
+ * any test in which one occurs fails.
+ */
 object Invariants {
-    /** The counter's name; its tag `invariant` names what was violated. */
+    /** Name of the counter; its tag `invariant` names the violated invariant. */
     const val METRIC = "invariant_violations"
     private val log = LoggerFactory.getLogger(Invariants::class.java)
 
-    /** The invariant of that name does not hold. */
+    /** Logs and counts a violation of the named [invariant]; [what] holds the values that violate it. */
     fun reportViolation(invariant: String, what: String) {
         Metrics.counter(METRIC, "invariant", invariant).increment()
         log.atError().addKeyValue("invariant", invariant).addKeyValue("what", what).log("invariant_violated")
--- a/src/main/kotlin/topazvale/reconcile/JobLifecycle.kt
+++ b/src/main/kotlin/topazvale/reconcile/JobLifecycle.kt
@@ -5,23 +5,23 @@
 import topazvale.store.RecordWriter
 import kotlin.time.ComparableTimeMark
 
-/** Learns of jobs that users submit and cancel, and moves to their final key those that are over. */
+/** Follows the submissions and cancellations of users, and finalizes finished jobs. */
 class JobLifecycle(
     state: StateService,
     records: RecordWriter,
     cluster: ClusterState,
     clocks: Clocks,
-    wake: () -> Unit,
+    onChange: () -> Unit,
 ) {
-    private val watch = JobWatch(state, cluster.registry, clocks, wake)
+    private val watch = JobWatch(state, cluster.registry, clocks, onChange)
     private val finalizer = JobFinalizer(state, records, cluster.registry)
 
-    /** Up to when all that users asked for is known here. */
+    /** All requests that users made before this time are known. */
     val currentAsOf: ComparableTimeMark get() = watch.currentAsOf
 
-    /** Follows the jobs' records; see [JobWatch.run]. */
-    suspend fun watch(from: Long, read: ComparableTimeMark) = watch.run(from, read)
+    /** Watches the job records; see [JobWatch.run]. */
+    suspend fun watch(fromRevision: Long, readAt: ComparableTimeMark) = watch.run(fromRevision, readAt)
 
-    /** Ends jobs that are over; [afterEach] of them starts are written. */
+    /** Finalizes all finished jobs and calls [afterEach] after each of them; see [JobFinalizer.finalizeJobs]. */
     suspend fun finalizeJobs(afterEach: suspend () -> Unit) = finalizer.finalizeJobs(afterEach)
 }
--- a/src/main/kotlin/topazvale/reconcile/JobLog.kt
+++ b/src/main/kotlin/topazvale/reconcile/JobLog.kt
@@ -3,23 +3,27 @@
 import org.slf4j.LoggerFactory
 import org.slf4j.spi.LoggingEventBuilder
 
-/** Where jobs became known from and at which revision they ended, as structured log events of a leadership term. */
+/**
+ * Logs, as structured events of a leadership term, from which source jobs became known and at which revision they
+ * ended.
+ */
 class JobLog(private val token: Long) {
     private val log = LoggerFactory.getLogger(JobLog::class.java)
 
-    /** A job became known; [proven]: up to which revision the watch had told of all changes by then. */
-    fun known(id: String, version: Long, source: RecordSource, proven: Long) =
-        about(id, log.atDebug()).add("version", version).add("source", source).add("revision", proven).log("job_known")
+    /** A job became known. By then the watch had delivered all changes up to [watchRevision]. */
+    fun jobAdded(id: String, version: Long, source: RecordSource, watchRevision: Long) =
+        jobEvent(id, log.atDebug()).add("version", version).add("source", source).add("revision", watchRevision)
+            .log("job_known")
 
-    /** A job ended, at [revision]. */
-    fun ended(id: String, job: ManagedJob, revision: Long, source: RecordSource) =
-        about(id, log.atDebug()).add("version", job.version).add("status", job.record.status).add("endedAt", revision)
-            .add("source", source).log("job_ended")
+    /** A job ended at [revision]: its record was replaced by its final state. */
+    fun jobEnded(id: String, job: ManagedJob, revision: Long, source: RecordSource) =
+        jobEvent(id, log.atDebug()).add("version", job.version).add("status", job.record.status)
+            .add("endedAt", revision).add("source", source).log("job_ended")
 
-    /** A record from before its job's end arrived after it. */
+    /** A stale record of a job was ignored: it arrived after the job's end at revision [endedAt]. */
     fun oldRecordIgnored(id: String, version: Long, endedAt: Long, source: RecordSource) =
-        about(id, log.atInfo()).add("version", version).add("endedAt", endedAt).add("source", source)
+        jobEvent(id, log.atInfo()).add("version", version).add("endedAt", endedAt).add("source", source)
             .log("old_record_ignored")
 
-    private fun about(id: String, builder: LoggingEventBuilder) = builder.add("term", token).add("job", id)
+    private fun jobEvent(id: String, builder: LoggingEventBuilder) = builder.add("term", token).add("job", id)
 }
--- a/src/main/kotlin/topazvale/reconcile/JobRegistry.kt
+++ b/src/main/kotlin/topazvale/reconcile/JobRegistry.kt
@@ -2,61 +2,65 @@
 
 import topazvale.model.JobRecord
 
-/** By which reading of the state service a job's record, or its end, came to be known. */
+/** The kind of read of the state service that returned a job's record or showed its end. */
 enum class RecordSource { REBUILD, LIST, EVENT, READ }
 
-/** A reading of the state service under way: what it brings may be as old as [provenBefore]. */
-class PendingRead internal constructor(val source: RecordSource, internal val provenBefore: Long)
+/**
+ * A read of the state service that is in progress. Its result may be as old as [minRevision], the watch revision at its
+ * start.
+ */
+class PendingRead internal constructor(val source: RecordSource, internal val minRevision: Long)
 
 /**
- * The jobs that are not over, and the one place that decides whether what was read of a job is news.
+ * The jobs that have not ended. The registry alone decides whether a record that was read is newer than the known
+ * state of its job.
  *
- * Records of a job arrive by several ways at once: listings page by page, a watch's answers, single reads. Any of them
- * may have been made before a change that is known already. A job's id is never used again once the job is over, and
- * only the leader of this term ends jobs. So a record is news if its version is higher than the known one, or if its
- * job is not known and has not ended.
+ * Records of a job arrive from several sources at once: pages of listings, watch responses and single reads. Each of
+ * them may predate a change that is already known. A job id is never reused after the job has ended, and only the
+ * leader of this term ends jobs. A record is therefore newer if its version is higher than the known one, or if its
+ * job is unknown and has not ended.
  *
- * That a job has ended is remembered for as long as a record from before its end can still arrive: until the watch has
- * told of all changes up to the revision of the end, and every other reading under way was begun after that. What is
- * read later is as of a later revision, and cannot hold the job.
+ * A tombstone marks a job that has ended, for as long as a record from before the end can still arrive: until the watch
+ * has delivered all changes up to the revision of the end, and every other pending read started after that. Later reads
+ * return a later revision, which cannot contain the job.
  */
 class JobRegistry(private val ledger: PlacementLedger, private val log: JobLog) {
-    private val live = LinkedHashMap<String, ManagedJob>()
+    private val activeJobs = LinkedHashMap<String, ManagedJob>()
 
-    /** The revisions at which jobs ended, by id. */
-    private val ended = LinkedHashMap<String, Long>()
-    private val underWay = HashSet<PendingRead>()
+    /** The revisions at which jobs ended, by job id. */
+    private val tombstones = LinkedHashMap<String, Long>()
+    private val pendingReads = HashSet<PendingRead>()
 
-    /** The watch has told of all changes up to this revision. */
-    private var proven = 0L
+    /** The watch has delivered all changes up to this revision. */
+    private var watchRevision = 0L
 
-    /** The highest revision that is known to exist. */
-    private var latest = 0L
+    /** The highest revision received so far from any source. */
+    private var latestRevision = 0L
 
-    /** The jobs that are not over, by id, in the order of their submission. */
-    val jobs: Map<String, ManagedJob> get() = live
+    /** The jobs that have not ended, by id, in the order of their submission. */
+    val jobs: Map<String, ManagedJob> get() = activeJobs
 
-    /** Of how many jobs the end is remembered. */
-    val tombstoneCount: Int get() = ended.size
+    /** The number of tombstones currently held. */
+    val tombstoneCount: Int get() = tombstones.size
 
-    /** Runs a reading other than the watch; what it brings has to be taken in within [work]. */
+    /** Runs a read other than the watch. [work] has to apply the result before it returns. */
     suspend fun <T> withPendingRead(source: RecordSource, work: suspend (PendingRead) -> T): T {
-        val reading = PendingRead(source, proven)
-        underWay += reading
+        val read = PendingRead(source, watchRevision)
+        pendingReads += read
         try {
-            return work(reading)
+            return work(read)
         } finally {
-            underWay -= reading
-            forgetEnds()
+            pendingReads -= read
+            removeTombstones()
         }
     }
 
-    /** A record of a job that is not over was read; true where it is news. */
+    /** Applies a job's record that was read; returns true if it is newer than the known state. */
     fun applyRecord(record: JobRecord, version: Long, source: RecordSource): Boolean {
         val id = record.spec.id
-        latest = maxOf(latest, version)
-        val known = live[id]
-        val endedAt = ended[id]
+        latestRevision = maxOf(latestRevision, version)
+        val known = activeJobs[id]
+        val endedAt = tombstones[id]
         return when {
             endedAt != null -> false.also { log.oldRecordIgnored(id, version, endedAt, source) }
             known == null -> true.also { add(record, version, source) }
@@ -65,45 +69,45 @@
         }
     }
 
-    /** A job that is not over has become known. */
+    /** Adds a job that was not known and has not ended. */
     fun add(record: JobRecord, version: Long, source: RecordSource): ManagedJob {
         val id = record.spec.id
-        ended[id]?.let { Invariants.reportViolation(ENDED_JOB_ADDED, "$id of version $version, ended at $it") }
-        latest = maxOf(latest, version)
-        val job = ManagedJob(record, version, ledger.of(id), knownAt = latest)
-        live[id] = job
-        log.known(id, version, source, proven)
+        tombstones[id]?.let { Invariants.reportViolation(ENDED_JOB_ADDED, "$id of version $version, ended at $it") }
+        latestRevision = maxOf(latestRevision, version)
+        val job = ManagedJob(record, version, ledger.of(id), knownAt = latestRevision)
+        activeJobs[id] = job
+        log.jobAdded(id, version, source, watchRevision)
         return job
     }
 
-    /** The job ended, at this revision. */
+    /** Removes a job that ended at [revision], and keeps a tombstone while a record from before may still arrive. */
     fun markEnded(id: String, revision: Long, source: RecordSource) {
-        val job = live.remove(id)
-        latest = maxOf(latest, revision)
-        if (revision > oldestView()) ended[id] = revision
+        val job = activeJobs.remove(id)
+        latestRevision = maxOf(latestRevision, revision)
+        if (revision > oldestReadRevision()) tombstones[id] = revision
         if (job == null) return
-        // Independent of what is remembered: a job that ended before it was added should not have been.
+        // This check does not depend on tombstones: a job that ended before it became known must not have been added.
         if (revision <= job.knownAt) {
             Invariants.reportViolation(ENDED_JOB_ADDED, "$id known at ${job.knownAt}, ended at $revision")
         }
         ledger.removeIfEmpty(id)
-        log.ended(id, job, revision, source)
+        log.jobEnded(id, job, revision, source)
     }
 
-    /** The watch has told of all changes up to the revision, and they have been taken in. */
+    /** The watch has delivered all changes up to [revision], and they have been applied. */
     fun advanceWatchRevision(revision: Long) {
-        proven = maxOf(proven, revision)
-        latest = maxOf(latest, proven)
-        forgetEnds()
+        watchRevision = maxOf(watchRevision, revision)
+        latestRevision = maxOf(latestRevision, watchRevision)
+        removeTombstones()
     }
 
-    /** The oldest revision as of which a record can still arrive. */
-    private fun oldestView(): Long = underWay.minOfOrNull { it.provenBefore } ?: proven
+    /** The oldest revision whose records can still arrive. */
+    private fun oldestReadRevision(): Long = pendingReads.minOfOrNull { it.minRevision } ?: watchRevision
 
-    private fun forgetEnds() {
-        if (ended.isEmpty()) return
-        val oldest = oldestView()
-        ended.values.removeAll { it <= oldest }
+    private fun removeTombstones() {
+        if (tombstones.isEmpty()) return
+        val oldest = oldestReadRevision()
+        tombstones.values.removeAll { it <= oldest }
     }
 
     private companion object {
--- a/src/main/kotlin/topazvale/reconcile/JobSnapshots.kt
+++ b/src/main/kotlin/topazvale/reconcile/JobSnapshots.kt
@@ -8,36 +8,36 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.Instant
 
-/** The jobs of a snapshot: those with tasks to place, and the services whose replicas may come. */
+/** The jobs of a snapshot: those with tasks to place, and the services that may get further replicas. */
 internal class JobSnapshots(private val settings: Settings, private val cluster: ClusterState) {
-    private data class ReplicaKind(val queue: String, val need: Resources, val spotAllowed: Boolean)
+    private data class ReplicaNeeds(val queue: String, val need: Resources, val spotAllowed: Boolean)
 
-    /** Jobs with tasks that are on no machine and may start, in the order of their submission. */
-    fun waiting(context: SnapshotContext): List<WaitingJob> {
+    /** Jobs that may start and have tasks without a placement, in the order of their submission. */
+    fun waitingJobs(context: SnapshotContext): List<WaitingJob> {
         val claimed = HashMap<String, Resources>()
         return cluster.jobs.values.mapNotNull { job ->
-            // Asked for each job: the earlier ones count against the guarantee also where they do not wait.
+            // Evaluated for every job: earlier jobs count against the guarantee even if none of their tasks waits.
             val guaranteed = withinGuarantee(job, claimed)
-            if (job.pendingTasks > 0 && startable(job)) waiting(job, guaranteed, context) else null
+            if (job.pendingTasks > 0 && canStart(job)) waitingJob(job, guaranteed, context) else null
         }
     }
 
-    /** By what a replica needs: services that ask for the same are looked after together. */
-    fun services(now: Instant): List<ServiceLoad> = cluster.jobs.values
+    /** The load of services, grouped by what a replica needs: services with equal needs are treated as one. */
+    fun serviceLoads(now: Instant): List<ServiceLoad> = cluster.jobs.values
         .filter { it.spec.isService && it.shouldRun }
-        .groupBy { ReplicaKind(it.spec.queue, it.spec.need, it.spec.spotAllowed) }
+        .groupBy { ReplicaNeeds(it.spec.queue, it.spec.need, it.spec.spotAllowed) }
         .values
-        .map { jobs -> load(jobs, now) }
+        .map { jobs -> serviceLoad(jobs, now) }
 
-    private fun waiting(job: ManagedJob, guaranteed: Boolean, context: SnapshotContext): WaitingJob {
+    private fun waitingJob(job: ManagedJob, guaranteed: Boolean, context: SnapshotContext): WaitingJob {
         val spec = job.spec
         return WaitingJob(
             spec = spec,
             submitted = job.record.submitted,
             deadline = job.record.deadline,
             pendingTasks = job.pendingTasks,
-            placedByZone = if (isBoundByZones(spec)) count(job) { it.market.zone } else emptyMap(),
-            placedByHost = if (spec.isService) count(job) { it.host } else emptyMap(),
+            placedByZone = if (isBoundByZones(spec)) countPlacements(job) { it.market.zone } else emptyMap(),
+            placedByHost = if (spec.isService) countPlacements(job) { it.host } else emptyMap(),
             hasStarted = job.placements.isNotEmpty() || job.doneCount > 0,
             estimate = context.estimate(spec),
             withinGuarantee = guaranteed,
@@ -46,34 +46,35 @@
 
     private fun isBoundByZones(spec: JobSpec) = spec.oneZone || spec.spread || spec.isService
 
-    private fun count(job: ManagedJob, by: (ManagedMachine) -> String): Map<String, Int> =
+    private fun countPlacements(job: ManagedJob, by: (ManagedMachine) -> String): Map<String, Int> =
         job.placements.all.groupingBy { by(it.machine) }.eachCount()
 
-    private fun load(jobs: List<ManagedJob>, now: Instant): ServiceLoad {
-        val recent = jobs.filter { now - it.record.submitted < ARRIVALS_WINDOW }
+    private fun serviceLoad(jobs: List<ManagedJob>, now: Instant): ServiceLoad {
+        val recent = jobs.filter { now - it.record.submitted < ARRIVAL_WINDOW }
         return ServiceLoad(
             sampleSpec = jobs.last().spec,
             largestReplicaCount = jobs.maxOf { it.spec.tasks },
-            replicasPerSecond = recent.sumOf { it.spec.tasks } / ARRIVALS_WINDOW.inWholeSeconds.toDouble(),
+            replicasPerSecond = recent.sumOf { it.spec.tasks } / ARRIVAL_WINDOW.inWholeSeconds.toDouble(),
         )
     }
 
-    private fun startable(job: ManagedJob): Boolean {
-        val rested = job.notBefore?.hasPassedNow() != false
-        // A gang starts anew only when nothing of its last attempt is left anywhere.
-        val whole = !job.spec.isGang || job.placements.isEmpty()
-        return job.shouldRun && !job.isFinalizing && rested && whole
+    private fun canStart(job: ManagedJob): Boolean {
+        val backoffEnded = job.notBefore?.hasPassedNow() != false
+        // A gang restarts only after every task of its last attempt is confirmed absent.
+        val gangAbsent = !job.spec.isGang || job.placements.isEmpty()
+        return job.shouldRun && !job.isFinalizing && backoffEnded && gangAbsent
     }
 
     /**
-     * Jobs come in the order of their submission. An amount of 0 guarantees nothing of its kind, and binds nothing
-     * either: work without GPUs is within a guarantee of GPUs alone.
+     * Whether the job and the team's earlier jobs fit into the resources that the team is guaranteed. Must be called in
+     * the order of submission. A guaranteed amount of 0 means no guarantee of that resource, and sets no limit: work
+     * without GPUs is within a guarantee of GPUs alone.
      */
     private fun withinGuarantee(job: ManagedJob, claimed: MutableMap<String, Resources>): Boolean {
         if (!job.isLive) return false
         val team = settings.teams[job.spec.team] ?: return false
-        val left = job.spec.need * (job.spec.tasks - job.doneCount)
-        val sum = claimed.merge(team.name, left, Resources::plus) ?: left
+        val remaining = job.spec.need * (job.spec.tasks - job.doneCount)
+        val sum = claimed.merge(team.name, remaining, Resources::plus) ?: remaining
         val guaranteed = team.guaranteed
         val gpusWithin = sum.gpus <= guaranteed.gpus || sum.gpus == 0.0
         val cpusWithin = guaranteed.cpus == 0.0 || sum.cpus <= guaranteed.cpus
@@ -81,7 +82,7 @@
     }
 
     private companion object {
-        /** Services come and go: over how long what came is counted. */
-        val ARRIVALS_WINDOW = 60.seconds
+        /** The arrival rate of replicas is averaged over this period, because services come and go. */
+        val ARRIVAL_WINDOW = 60.seconds
     }
 }
--- a/src/main/kotlin/topazvale/reconcile/JobWatch.kt
+++ b/src/main/kotlin/topazvale/reconcile/JobWatch.kt
@@ -14,79 +14,90 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Follows the jobs' records: learns what users submit and cancel, and reads all anew where the watch is too old. */
+/**
+ * Watches the job records for submissions and cancellations, and relists them when the revision of the watch is too old
+ * for the state service.
+ */
 internal class JobWatch(
     private val state: StateService,
     private val registry: JobRegistry,
     private val clocks: Clocks,
-    private val wake: () -> Unit,
+    private val onChange: () -> Unit,
 ) {
-    /** Up to when all that users asked for is known here. */
+    /** All requests that users made before this time are known. */
     var currentAsOf: ComparableTimeMark = clocks.mark()
         private set
 
-    /** [read]: when the reading of what is known so far began, which is complete up to the revision [from]. */
-    suspend fun run(from: Long, read: ComparableTimeMark) {
-        var since = from
-        currentAsOf = read
+    /**
+     * Watches from [fromRevision] on, up to which the known jobs are complete. [readAt] is when the read that returned
+     * them started.
+     */
+    suspend fun run(fromRevision: Long, readAt: ComparableTimeMark) {
+        var since = fromRevision
+        currentAsOf = readAt
         registry.advanceWatchRevision(since)
         while (true) {
-            val sent = clocks.mark()
-            when (val answer = state.watch(Keys.JOBS, since, WATCH)) {
-                is Outcome.Ok -> since = changed(answer.value, sent)
-                is Outcome.Gone -> since = readAnew(sent)
-                else -> delay(RETRY)
+            val sentAt = clocks.mark()
+            when (val response = state.watch(Keys.JOBS, since, WATCH_TIMEOUT)) {
+                is Outcome.Ok -> since = applyEvents(response.value, sentAt)
+                is Outcome.Gone -> since = relist(sentAt)
+                else -> delay(RETRY_DELAY)
             }
         }
     }
 
-    private fun changed(answer: Events, sent: ComparableTimeMark): Long {
-        // The service names no order. In that of the revisions a job is known before its end.
-        answer.events.sortedBy { it.version }.forEach(::take)
-        registry.advanceWatchRevision(answer.revision)
-        currentAsOf = toldUpTo(answer, sent)
-        if (answer.events.isNotEmpty()) wake()
-        return answer.revision
+    private fun applyEvents(response: Events, sentAt: ComparableTimeMark): Long {
+        // The state service specifies no order of events. In revision order a job becomes known before its end.
+        response.events.sortedBy { it.version }.forEach(::applyEvent)
+        registry.advanceWatchRevision(response.revision)
+        currentAsOf = completeUntil(response, sentAt)
+        if (response.events.isNotEmpty()) onChange()
+        return response.revision
     }
 
-    /** An answer tells all up to when it was given: without a change that is when the wait was over, if it was. */
-    private fun toldUpTo(answer: Events, sent: ComparableTimeMark): ComparableTimeMark {
-        val wait = WATCH * SLOWEST_CLOCK
-        return if (answer.events.isEmpty() && sent.elapsedNow() >= wait) sent + wait else sent
+    /**
+     * A response covers all changes until the state service sent it. For an empty response that is the end of the wait,
+     * provided that the whole wait has elapsed; any other response may have been sent as soon as the request arrived.
+     */
+    private fun completeUntil(response: Events, sentAt: ComparableTimeMark): ComparableTimeMark {
+        val wait = WATCH_TIMEOUT * CLOCK_DRIFT_FACTOR
+        return if (response.events.isEmpty() && sentAt.elapsedNow() >= wait) sentAt + wait else sentAt
     }
 
-    private fun take(event: Event) {
+    private fun applyEvent(event: Event) {
         val data = event.data
         if (data == null) {
             registry.markEnded(idOf(event.key), event.version, RecordSource.EVENT)
         } else {
-            take(Entry(event.key, data, event.version), RecordSource.EVENT)
+            applyEntry(Entry(event.key, data, event.version), RecordSource.EVENT)
         }
     }
 
-    private fun take(entry: Entry, source: RecordSource) {
+    private fun applyEntry(entry: Entry, source: RecordSource) {
         val record = Records.readOrNull(entry.key, entry.data, JobRecords::decode) ?: return
         registry.applyRecord(record, entry.version, source)
     }
 
-    /** The watch goes on from the listing's first page, so that it may tell once more what later pages hold. */
-    private suspend fun readAnew(sent: ComparableTimeMark): Long =
-        registry.withPendingRead(RecordSource.LIST) { reading ->
-            val listing = state.listAllWithRetry(Keys.JOBS)
-            listing.entries.forEach { take(it, reading.source) }
-            registry.advanceWatchRevision(listing.revision)
-            currentAsOf = sent
-            wake()
-            listing.revision
-        }
+    /**
+     * Lists all job records and returns the revision of the listing's first page. The watch continues from there, so it
+     * may deliver changes again that later pages already contain.
+     */
+    private suspend fun relist(sentAt: ComparableTimeMark): Long = registry.withPendingRead(RecordSource.LIST) { read ->
+        val listing = state.listAllWithRetry(Keys.JOBS)
+        listing.entries.forEach { applyEntry(it, read.source) }
+        registry.advanceWatchRevision(listing.revision)
+        currentAsOf = sentAt
+        onChange()
+        listing.revision
+    }
 
     private fun idOf(key: String) = key.removePrefix(Keys.JOBS)
 
     private companion object {
-        val RETRY = 200.milliseconds
-        val WATCH = 2.seconds
+        val RETRY_DELAY = 200.milliseconds
+        val WATCH_TIMEOUT = 2.seconds
 
-        /** Our clock may run faster than the one by which the wait was measured. */
-        const val SLOWEST_CLOCK = 0.99
+        /** The leader's clock may run faster than the clock by which the state service measures the wait. */
+        const val CLOCK_DRIFT_FACTOR = 0.99
     }
 }
--- a/src/main/kotlin/topazvale/reconcile/MachineInventory.kt
+++ b/src/main/kotlin/topazvale/reconcile/MachineInventory.kt
@@ -10,8 +10,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Compares the cloud's machine list, which lags, with the cluster state: takes in machines that were not known, and
- * marks for return those that are of no use any more.
+ * Compares the cloud's machine list, which lags, with the cluster state: adds unknown machines, and marks unusable
+ * machines for return.
  */
 internal class MachineInventory(
     private val settings: Settings,
@@ -23,22 +23,23 @@
     private val lease = settings.workers.lease
 
     /**
-     * A machine that is missing from the list for longer than this is gone: the list is older than it says at times.
+     * A machine that is missing from the list for longer than this no longer exists. The timeout exceeds the documented
+     * lag, because the list is sometimes older than it says.
      */
-    private val unlistedLimit = settings.cloudLimits.listLag * LIST_LAGS + LIST_MARGIN
+    private val unlistedTimeout = settings.cloudLimits.listLag * LIST_LAG_FACTOR + LIST_MARGIN
 
-    /** Takes in a list that the cloud has just given. */
+    /** Applies a machine list that the cloud has just returned. */
     fun update(listed: List<ListedMachine>) {
-        for (machine in listed) if (!cluster.isReturned(machine.host)) takeListed(machine)
+        for (machine in listed) if (!cluster.isReturned(machine.host)) applyListed(machine)
         for (machine in cluster.machines.values) {
-            if (!machine.returning) uselessness(machine)?.let { giveBack(machine, it) }
+            if (!machine.returning) returnReason(machine)?.let { markForReturn(machine, it) }
         }
         returnUnreachable()
     }
 
-    private fun takeListed(listed: ListedMachine) {
+    private fun applyListed(listed: ListedMachine) {
         if (listed.host !in cluster.machines) {
-            log.info("unexpected machine {}", listed.host)
+            log.info("unexpected machine {} in the cloud's list", listed.host)
             cluster.addMachines(
                 listed.host,
                 listed.market,
@@ -53,50 +54,51 @@
         if (listed.status == CloudStatus.FAILED) machine.failed = true
     }
 
-    /** It has failed, never came up, went silent for good, is listed no more, or whatever starts there fails. */
-    private fun uselessness(machine: ManagedMachine): ReturnReason? {
+    /** Why the machine is unusable; null while it is usable or its type is unknown. */
+    private fun returnReason(machine: ManagedMachine): ReturnReason? {
         val type = cluster.types[machine.market.type] ?: return null
         val age = clocks.now() - machine.rentedAt
-        // A leader that may not answer hears its machines all the same: they are not to go back for its silence.
-        val seen = machine.lastReportAt
+        // Counts every report, also unanswered ones: a leader that may not respond to reports must not return machines
+        // as unresponsive.
+        val seenAt = machine.lastReportAt
         return when {
             machine.failed -> ReturnReason.FAILED
             machine.consecutiveFailures >= MachineSnapshots.MAX_CONSECUTIVE_FAILURES -> ReturnReason.FAULTY
-            seen != null -> ReturnReason.SILENT.takeIf { seen.elapsedNow() > lease * SILENT_LEASES }
-            neverCameUp(machine, type, age) -> ReturnReason.NEVER_UP
+            seenAt != null -> ReturnReason.SILENT.takeIf { seenAt.elapsedNow() > lease * UNRESPONSIVE_LEASES }
+            hasBootTimedOut(machine, type, age) -> ReturnReason.NEVER_UP
             else -> ReturnReason.UNLISTED.takeIf { isUnlisted(machine, age) }
         }
     }
 
-    private fun giveBack(machine: ManagedMachine, reason: ReturnReason) {
+    private fun markForReturn(machine: ManagedMachine, reason: ReturnReason) {
         machine.returning = true
-        decisions.returnWanted(machine, reason)
+        decisions.returnRequested(machine, reason)
     }
 
-    private fun neverCameUp(machine: ManagedMachine, type: MachineType, age: Duration) =
+    private fun hasBootTimedOut(machine: ManagedMachine, type: MachineType, age: Duration) =
         age > type.bootTime * MachineSnapshots.BOOT_TIMEOUT_FACTOR &&
-            machine.knownSince.elapsedNow() > lease * SILENT_LEASES
+            machine.knownSince.elapsedNow() > lease * UNRESPONSIVE_LEASES
 
     private fun isUnlisted(machine: ManagedMachine, age: Duration): Boolean {
-        val known = minOf(machine.knownSince.elapsedNow(), age)
-        val missing = machine.listedAt?.elapsedNow() ?: Duration.INFINITE
-        return known > unlistedLimit && missing > unlistedLimit
+        val knownFor = minOf(machine.knownSince.elapsedNow(), age)
+        val unlistedFor = machine.listedAt?.elapsedNow() ?: Duration.INFINITE
+        return knownFor > unlistedTimeout && unlistedFor > unlistedTimeout
     }
 
     /**
-     * A machine whose reports come in and that our answers do not reach is of no use. Where many seem to be so, the
-     * fault is more likely ours.
+     * Returns machines whose reports arrive but whose workers do not receive this leader's responses. If a large share
+     * of all machines appears unreachable, the fault is more likely on the leader's side, and none is returned.
      */
     private fun returnUnreachable() {
         val unreachable = cluster.machines.values.filter { !it.returning && it.responseDelivery.unconfirmedFor > lease }
-        if (unreachable.size > cluster.machines.size * MOST_UNREACHABLE) return
-        unreachable.forEach { giveBack(it, ReturnReason.DOES_NOT_HEAR) }
+        if (unreachable.size > cluster.machines.size * MAX_UNREACHABLE_SHARE) return
+        unreachable.forEach { markForReturn(it, ReturnReason.DOES_NOT_HEAR) }
     }
 
     private companion object {
-        const val MOST_UNREACHABLE = 0.25
-        const val LIST_LAGS = 3
-        const val SILENT_LEASES = 1.5
+        const val MAX_UNREACHABLE_SHARE = 0.25
+        const val LIST_LAG_FACTOR = 3
+        const val UNRESPONSIVE_LEASES = 1.5
         val LIST_MARGIN = 5.seconds
     }
 }
--- a/src/main/kotlin/topazvale/reconcile/MachineSnapshots.kt
+++ b/src/main/kotlin/topazvale/reconcile/MachineSnapshots.kt
@@ -11,33 +11,33 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** The machines of a snapshot: those that are up or booting, with what is free on them and what will be. */
+/** The machines of a snapshot: those that are up or booting, with their free capacity and its expected releases. */
 internal class MachineSnapshots(
     private val settings: Settings,
     private val cluster: ClusterState,
     private val token: Long,
 ) {
-    /** The machines that something may be placed on, or waited for. */
+    /** The machines that can take tasks now or after they have booted. */
     fun all(context: SnapshotContext): List<MachineState> = cluster.machines.values.mapNotNull { machine ->
-        cluster.types[machine.market.type]?.let { machine(machine, it, context) }
+        cluster.types[machine.market.type]?.let { machineState(machine, it, context) }
     }
 
-    /** Null for a machine that nothing is to be placed on, nor waited for. */
-    private fun machine(machine: ManagedMachine, type: MachineType, context: SnapshotContext): MachineState? {
+    /** Null for a machine that gets no new tasks and is not expected to come up. */
+    private fun machineState(machine: ManagedMachine, type: MachineType, context: SnapshotContext): MachineState? {
         if (isLeaving(machine)) return null
-        val present = isPresent(machine, context)
-        if (!present && !isBooting(machine, type, context)) return null
-        // A report from before our term may be a late copy: of a machine that is gone, or a session that is over.
-        val up = present && (machine.rentedInThisTerm || machine.token >= token)
-        val ready = machine.rentedAt + type.bootTime
+        val reporting = isReporting(machine, context)
+        if (!reporting && !isBooting(machine, type, context)) return null
+        // A report under an earlier term's token may be a delayed copy, from a returned machine or an ended session.
+        val up = reporting && (machine.rentedInThisTerm || machine.token >= token)
+        val expectedUpAt = machine.rentedAt + type.bootTime
         return MachineState(
             host = machine.host,
             market = machine.market,
             type = type,
             free = if (machine.hasUnknownUsage) Resources.NONE else type.capacity - machine.used,
-            startSlots = MOST_STARTS - machine.placements.size,
+            startSlots = MAX_STARTS - machine.placements.size,
             up = up,
-            readyIn = if (present) Duration.ZERO else (ready - context.now).coerceAtLeast(Duration.ZERO),
+            readyIn = if (reporting) Duration.ZERO else (expectedUpAt - context.now).coerceAtLeast(Duration.ZERO),
             images = machine.images,
             fetchingImages = machine.fetchingImages,
             releases = if (up) releases(machine, context) else NO_RELEASES,
@@ -46,13 +46,13 @@
     }
 
     private fun isLeaving(machine: ManagedMachine): Boolean {
-        val useless = machine.failed || machine.consecutiveFailures >= MAX_CONSECUTIVE_FAILURES
-        return machine.returning || useless || machine.noticeEndsAt != null
+        val unusable = machine.failed || machine.consecutiveFailures >= MAX_CONSECUTIVE_FAILURES
+        return machine.returning || unusable || machine.noticeEndsAt != null
     }
 
-    private fun isPresent(machine: ManagedMachine, context: SnapshotContext): Boolean {
-        val reported = machine.lastAnsweredReportAt ?: return false
-        return context.mark - reported < settings.workers.reportInterval * MAX_MISSED_REPORTS &&
+    private fun isReporting(machine: ManagedMachine, context: SnapshotContext): Boolean {
+        val reportedAt = machine.lastAnsweredReportAt ?: return false
+        return context.mark - reportedAt < settings.workers.reportInterval * MAX_MISSED_REPORTS &&
             machine.responseDelivery.isConfirmed
     }
 
@@ -62,13 +62,13 @@
         return expected || machine.knownSince.elapsedNow() < settings.workers.lease
     }
 
-    /** Worked out only where somebody asks. */
+    /** Computed only when the scheduler reads it. */
     private fun releases(machine: ManagedMachine, context: SnapshotContext): Lazy<List<CapacityRelease>> =
         lazy(LazyThreadSafetyMode.NONE) { machine.placements.values.map { release(it, context) } }
 
     private fun release(placed: PlacedTask, context: SnapshotContext): CapacityRelease {
         val job = cluster.jobs[placed.start.task.job]
-        // Whatever is left of a job that is over stops at once, and nobody loses by it.
+        // Remaining tasks of a finished job stop immediately, and no job loses work by that.
         if (job == null) {
             return CapacityRelease(
                 placed.start,
@@ -78,50 +78,58 @@
                 mustStartNow = true,
             )
         }
-        val ran = placed.runningSince?.let { context.mark - it } ?: Duration.ZERO
+        val ranFor = placed.runningSince?.let { context.mark - it } ?: Duration.ZERO
         val estimate = context.estimate(job.spec)
         return CapacityRelease(
             placed.start,
             placed.need,
-            expectedIn = within(job.spec, placed, estimate - ran),
+            expectedIn = expectedIn(job.spec, placed, estimate - ranFor),
             rank = job.spec.rank,
-            lostWork = if (isSpared(job, context)) null else lost(job.spec, ran),
+            lostWork = if (isExemptFromPreemption(job, context)) null else lostWork(job.spec, ranFor),
             stopping = placed.stopGracePeriod != null,
             mustStartNow = JobOrder.mustStartNow(job.record.deadline, estimate, context.now),
         )
     }
 
-    private fun within(spec: JobSpec, placed: PlacedTask, left: Duration): Duration =
-        if (spec.isService && placed.stopGracePeriod == null) Duration.INFINITE else left.coerceAtLeast(Duration.ZERO)
+    private fun expectedIn(spec: JobSpec, placed: PlacedTask, remaining: Duration): Duration = if (spec.isService &&
+        placed.stopGracePeriod == null
+    ) {
+        Duration.INFINITE
+    } else {
+        remaining.coerceAtLeast(Duration.ZERO)
+    }
 
-    /** A job that got its first share by its age would lose it at once to those it went before. */
-    private fun isSpared(job: ManagedJob, context: SnapshotContext): Boolean {
-        val aged = context.now - job.record.submitted > JobOrder.STARVATION_THRESHOLD
-        return job.spec.isGang || (job.doneCount == 0 && !job.spec.isService && aged)
+    /**
+     * Gangs are exempt, and so are jobs past the starvation threshold with no task done: such a job got its capacity
+     * ahead of other jobs because of its age, and would lose it to them at once.
+     */
+    private fun isExemptFromPreemption(job: ManagedJob, context: SnapshotContext): Boolean {
+        val starved = context.now - job.record.submitted > JobOrder.STARVATION_THRESHOLD
+        return job.spec.isGang || (job.doneCount == 0 && !job.spec.isService && starved)
     }
 
-    /** The work that a stop would lose. */
-    private fun lost(spec: JobSpec, ran: Duration): Duration = when {
-        spec.isService -> REPLICA_LOSS
-        spec.checkpoints -> minOf(ran, spec.saveTime)
-        else -> ran
+    /** The work that is lost if the task stops now. */
+    private fun lostWork(spec: JobSpec, ranFor: Duration): Duration = when {
+        spec.isService -> REPLICA_STOP_COST
+        spec.checkpoints -> minOf(ranFor, spec.saveTime)
+        else -> ranFor
     }
 
     companion object {
-        /** A machine that misses this many reports gets nothing new. */
+        /** A machine that has missed this many reports gets no new tasks. */
         const val MAX_MISSED_REPORTS = 2.5
 
-        /** A machine that takes longer than this many usual boot times is not waited for. */
+        /** Usual boot times after which a booting machine is no longer expected to come up. */
         const val BOOT_TIMEOUT_FACTOR = 3
 
-        /** A machine on which this many starts in a row failed is faulty. */
+        /** A machine on which this many starts in a row have failed is faulty. */
         const val MAX_CONSECUTIVE_FAILURES = 3
 
-        /** What a machine reports of this many starts stays well below the limit of a body. */
-        private const val MOST_STARTS = 400
+        /** A report that lists this many starts stays well below the size limit of a body. */
+        private const val MAX_STARTS = 400
 
-        /** Other work is stopped before a replica is. */
-        private val REPLICA_LOSS = 600.seconds
+        /** High enough that other work is preempted before a replica. */
+        private val REPLICA_STOP_COST = 600.seconds
         private val NO_RELEASES = lazyOf(emptyList<CapacityRelease>())
     }
 }
--- a/src/main/kotlin/topazvale/reconcile/ManagedJob.kt
+++ b/src/main/kotlin/topazvale/reconcile/ManagedJob.kt
@@ -9,8 +9,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * A job that is not over, as this leader knows it; [placements] are the placements of its tasks, [knownAt] is the
- * highest revision of the state service that was known when the job became known.
+ * A job that has not ended, as this leader knows it. [placements] are those of its tasks; [knownAt] is the highest
+ * revision of the state service that the leader had received when the job became known.
  */
 class ManagedJob(
     record: JobRecord,
@@ -21,108 +21,111 @@
     var record: JobRecord = record
         private set
 
-    /** The version of its record. */
+    /** The version of [record] in the state service. */
     var version: Long = version
         private set
     val spec get() = record.spec
 
-    /** The tasks that are done. */
+    /** The indexes of the tasks that are done. */
     val done = BitSet()
     var doneCount = 0
 
-    /** A job that fails wherever it starts is tried less and less often. */
+    /** Failures since a task of the job last succeeded. The backoff before the next start grows with them. */
     var consecutiveFailures = 0
 
-    /** The machines on which it has failed since a task of it last succeeded. */
-    private val failedOn = HashSet<String>()
+    /** The machines on which tasks of the job have failed since one last succeeded. */
+    private val failedHosts = HashSet<String>()
 
-    /** No task of it is started before. */
+    /** No task of the job starts before this time; null without a backoff. */
     var notBefore: ComparableTimeMark? = null
 
-    /** Its end is being written. */
+    /** The transaction that finalizes the job is in progress. */
     var isFinalizing = false
 
-    /** Replicas that ended by themselves, by index. */
+    /** The backoffs of replicas that exited without being stopped, by task index. */
     private val backoffs = HashMap<Int, ReplicaBackoff>()
 
     /**
-     * Some controller has told its user that it is cancelled, or may have: nothing of it may run, whatever its record
-     * says.
+     * A controller has reported the job as cancelled to its user, or may have done so. Its tasks must not run then,
+     * whatever its record says.
      */
     var isReportedCancelled = false
 
-    /** All its tasks are done; a service never is. */
+    /** All tasks are done; never true for a service. */
     val isComplete get() = doneCount == spec.tasks && !spec.isService
 
-    /** By its record nobody has cancelled it. */
+    /** According to the record the job is not cancelled. */
     val isLive get() = record.status == JobStatus.LIVE
 
-    /** Its tasks may run. */
+    /** Whether tasks of the job may run. */
     val shouldRun get() = isLive && !isReportedCancelled
 
-    /** A later record of it was read. */
+    /** Replaces the record by a newer one. */
     fun update(record: JobRecord, version: Long) {
         this.record = record
         this.version = version
     }
 
-    /** How many of its tasks could be started now. */
+    /** The number of tasks that could start now. */
     val pendingTasks: Int
         get() {
             val notDone = spec.tasks - doneCount - placements.tasks.count { !done.get(it) }
-            return notDone - backoffs.count { (index, backoff) -> index !in placements && backoff.rests }
+            return notDone - backoffs.count { (index, backoff) -> index !in placements && backoff.isActive }
         }
 
-    /** How many of its tasks run, as users see it. */
+    /** The number of running tasks that users are shown. */
     val runningTasks get() = placements.all.count { it.state == TaskState.RUNNING || it.state == TaskState.SAVING }
 
     /**
-     * A replica has ended by itself, after it ran for [ran]; [rest]: how long it rests after so many times in a row.
+     * Records that a replica exited without being stopped, after running for [ranFor]. [backoffAfter] maps the number
+     * of consecutive exits to the time until its next start.
      */
-    fun recordReplicaExit(index: Int, ran: Duration, now: ComparableTimeMark, rest: (Int) -> Duration) {
-        val times = if (ran > STABLE) 1 else (backoffs[index]?.times ?: 0) + 1
-        if (ran > STABLE) recordSuccess()
-        backoffs[index] = ReplicaBackoff(times, now + rest(times))
+    fun recordReplicaExit(index: Int, ranFor: Duration, now: ComparableTimeMark, backoffAfter: (Int) -> Duration) {
+        val exits = if (ranFor > STABLE_RUN_TIME) 1 else (backoffs[index]?.consecutiveExits ?: 0) + 1
+        if (ranFor > STABLE_RUN_TIME) recordSuccess()
+        backoffs[index] = ReplicaBackoff(exits, now + backoffAfter(exits))
     }
 
     /**
-     * A task has failed on the machine; whether that speaks against the machine. A job that fails on one machine after
-     * the other was submitted with a mistake: without that all machines it meets would be returned, with whatever else
-     * runs there.
+     * Records that a task failed on a machine, and returns whether the failure counts against the machine. A job that
+     * fails on one machine after another is itself faulty. If its failures counted everywhere, every machine it reached
+     * would be returned to the cloud, together with all other work there.
      */
     fun recordFailure(host: String): Boolean {
-        failedOn += host
-        return failedOn.size <= MOST_FAULTY_MACHINES
+        failedHosts += host
+        return failedHosts.size <= MAX_FAULTY_MACHINES
     }
 
-    /** A task of it has succeeded: neither the job nor the machines it met are at fault. */
+    /** Records that a task succeeded: neither the job nor the machines on which it failed are faulty. */
     fun recordSuccess() {
         consecutiveFailures = 0
-        failedOn.clear()
+        failedHosts.clear()
     }
 
-    /** The next tasks to start, at most [count]. */
+    /** Returns the indexes of the next tasks to start, at most [count]. */
     fun nextTasks(count: Int): List<Int> {
-        val found = ArrayList<Int>(count)
+        val next = ArrayList<Int>(count)
         var index = done.nextClearBit(0)
-        while (found.size < count && index < spec.tasks) {
-            if (index !in placements && backoffs[index]?.rests != true) found += index
+        while (next.size < count && index < spec.tasks) {
+            if (index !in placements && backoffs[index]?.isActive != true) next += index
             index = done.nextClearBit(index + 1)
         }
-        return found
+        return next
     }
 
     private companion object {
-        /** A replica that served for this long had no fault from its start. */
-        val STABLE = 60.seconds
+        /** A replica that ran for longer than this did not exit because of a fault at its start. */
+        val STABLE_RUN_TIME = 60.seconds
 
-        /** Machines are seldom faulty: a job on which so many fail is at fault itself. */
-        const val MOST_FAULTY_MACHINES = 2
+        /** Machines are rarely faulty: a job that fails on more of them than this is itself faulty. */
+        const val MAX_FAULTY_MACHINES = 2
     }
 }
 
-/** A replica that ends again and again is started less and less often, and its fellows as ever. */
-class ReplicaBackoff(val times: Int, private val until: ComparableTimeMark) {
-    /** Whether it is not to be started yet. */
-    val rests get() = until.hasNotPassedNow()
+/**
+ * The backoff of a replica that exits repeatedly. It grows with each exit, and does not delay the job's other replicas.
+ */
+class ReplicaBackoff(val consecutiveExits: Int, private val until: ComparableTimeMark) {
+    /** Whether the replica must not start yet. */
+    val isActive get() = until.hasNotPassedNow()
 }
--- a/src/main/kotlin/topazvale/reconcile/PlanningLoop.kt
+++ b/src/main/kotlin/topazvale/reconcile/PlanningLoop.kt
@@ -14,8 +14,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Makes plans from snapshots of the cluster state and carries them out: records starts, stops what has to make room,
- * and hands rents and returns to the provisioning loop. Called by the leadership term while starts are allowed.
+ * Makes plans from snapshots of the cluster state and carries them out: records starts, preempts tasks, and submits
+ * rentals and returns of machines to the provisioning loop. The leadership term calls it while starts are allowed.
  */
 internal class PlanningLoop(
     context: TermContext,
@@ -38,7 +38,7 @@
     private var provisionedAt: ComparableTimeMark = clocks.mark()
     private var attempts = 0L
 
-    /** Carries out what the plans ask of the cloud; run by the leadership term. */
+    /** Rents and returns machines as planned; the leadership term runs it. */
     val provisioning = ProvisioningLoop(context, cluster, bids)
 
     /** Makes one plan and carries it out. */
@@ -50,32 +50,34 @@
         starts.record(placed)
         if (placed.isNotEmpty()) decisions.startsPlanned(placed, term.lastRenewedAt.elapsedNow(), watchAge)
         plan.preempted.forEach(stopper::preempt)
-        if (provisionNow) rent(snapshot, plan)
+        if (provisionNow) submitRentals(snapshot, plan)
         returnIdle(snapshot, plan)
     }
 
-    private fun rent(snapshot: Snapshot, plan: PlacementPlan) {
+    private fun submitRentals(snapshot: Snapshot, plan: PlacementPlan) {
         provisionedAt = clocks.mark()
-        provisioning.submit(provisioner.planRentals(snapshot, plan, provisioning.refused(), MOST_RENTED))
+        provisioning.submit(
+            provisioner.planRentals(snapshot, plan, provisioning.marketsInCooldown(), MAX_RENTED_PER_PLAN),
+        )
     }
 
     private fun returnIdle(snapshot: Snapshot, plan: PlacementPlan) {
         for (host in provisioner.planReturns(snapshot, plan.reservedHosts)) {
             val machine = cluster.machines[host]
-            // The plan itself may have placed something there.
+            // This plan may have placed tasks on a machine that the snapshot shows as idle.
             if (machine == null || machine.placements.isNotEmpty()) continue
             machine.returning = true
-            provisioningLog.returnWanted(machine, ReturnReason.IDLE)
+            provisioningLog.returnRequested(machine, ReturnReason.IDLE)
         }
     }
 
     private fun assign(assignment: Assignment): List<PlacedTask> {
         val job = cluster.jobs.getValue(assignment.job)
         val machine = cluster.machines.getValue(assignment.host)
-        // All tasks of a gang share an attempt number, by which they find one another.
+        // All tasks of a gang share one attempt number, by which they find each other.
         if (!job.spec.isGang || job.placements.isEmpty()) attempts++
         val placed = job.nextTasks(assignment.tasks).map { index ->
-            // The token makes attempts of different terms different.
+            // The term's token keeps the attempts of different terms distinct.
             val start = Start(TaskId(assignment.job, index), Attempts.of(token, attempts))
             cluster.place(start, machine, machine.session, PlacementOrigin.STARTED)
         }
@@ -86,8 +88,8 @@
     }
 
     private companion object {
-        /** Machines asked for in one go, however much work waits. */
-        const val MOST_RENTED = 200
+        /** The most machines that one plan rents, however much work waits. */
+        const val MAX_RENTED_PER_PLAN = 200
         val PROVISION_INTERVAL = 1.seconds
     }
 }
--- a/src/main/kotlin/topazvale/reconcile/ProvisioningLog.kt
+++ b/src/main/kotlin/topazvale/reconcile/ProvisioningLog.kt
@@ -5,14 +5,14 @@
 import topazvale.model.Market
 import kotlin.time.Duration
 
-/** What a term rents and returns, as structured log events with the ground on which it was allowed. */
+/** Logs, as structured events, which machines a term rents and returns and why that was allowed. */
 internal class ProvisioningLog(private val token: Long) {
     private val log = LoggerFactory.getLogger(ProvisioningLog::class.java)
 
-    /** Machines were rented; [leaseAge]: since the last renewal of the leader's lease. */
-    fun rented(booking: String, market: Market, asked: Int, hosts: List<String>, leaseAge: Duration) =
+    /** Machines were rented; [leaseAge] is the time since the leader last renewed its lease. */
+    fun rented(booking: String, market: Market, requested: Int, hosts: List<String>, leaseAge: Duration) =
         event(log.atInfo()) {
-            add("booking", booking).add("market", market).add("asked", asked).add("hosts", hosts)
+            add("booking", booking).add("market", market).add("asked", requested).add("hosts", hosts)
                 .add("leaseAge", leaseAge)
                 .log("rented")
         }
@@ -22,8 +22,8 @@
         add("hosts", hosts).add("leaseAge", leaseAge).log("returned")
     }
 
-    /** A machine is to go back. */
-    fun returnWanted(machine: ManagedMachine, reason: ReturnReason) = event(log.atInfo()) {
+    /** A machine is to be returned to the cloud. */
+    fun returnRequested(machine: ManagedMachine, reason: ReturnReason) = event(log.atInfo()) {
         add("machine", machine.host).add("reason", reason).add("seenAge", machine.lastReportAt.age)
             .add("tasks", machine.placements.size)
             .log("return_wanted")
@@ -34,5 +34,5 @@
     }
 }
 
-/** Why a machine is to go back to the cloud. */
+/** Why a machine is returned to the cloud. */
 enum class ReturnReason { FAILED, FAULTY, NEVER_UP, UNLISTED, SILENT, DOES_NOT_HEAR, IDLE }
--- a/src/main/kotlin/topazvale/reconcile/ProvisioningLoop.kt
+++ b/src/main/kotlin/topazvale/reconcile/ProvisioningLoop.kt
@@ -12,8 +12,9 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Rents and returns machines as planned, and keeps prices and the machine list up to date. One call to the cloud at a
- * time; renting and returning are not fenced by the token, so that each is asked for only while the lease is certain.
+ * Rents and returns machines as planned, and refreshes prices and the machine list. It makes one call to the cloud at a
+ * time. The token does not fence rentals and returns, so each of them is requested only while the leader holds its
+ * lease.
  */
 internal class ProvisioningLoop(
     private val context: TermContext,
@@ -26,45 +27,48 @@
     private val cloud = context.services.cloud
     private val clocks = context.clocks
     private val inventory = MachineInventory(settings, cluster, clocks, decisions)
-    private val listInterval = maxOf(settings.cloudLimits.listLag, LEAST_LIST_INTERVAL)
-    private val refusedUntil = HashMap<Market, ComparableTimeMark>()
-    private var wanted: List<RentalRequest> = emptyList()
+    private val listInterval = maxOf(settings.cloudLimits.listLag, MIN_LIST_INTERVAL)
+    private val cooldowns = HashMap<Market, ComparableTimeMark>()
+    private var submitted: List<RentalRequest> = emptyList()
     private var bookings = 0L
     private var listedAt: ComparableTimeMark? = null
     private var pricedAt: ComparableTimeMark? = null
     private var renting = false
 
-    /** Machines rented together are one record, however few images it has space for. */
-    private val mostPerCall = MachineGroup.maxMachines(settings.stateLimits.valueBytes).coerceAtMost(MOST_PER_CALL)
+    /** Machines rented together share one record, which has to hold them all even if it has no space for images. */
+    private val maxPerCall = MachineGroup.maxMachines(settings.stateLimits.valueBytes).coerceAtMost(MAX_PER_REQUEST)
     private val workRequests = Channel<Unit>(Channel.CONFLATED)
 
-    /** False while rents are on their way: what is worked out then does not know of them yet. */
-    val acceptsRequests: Boolean get() = !renting && wanted.isEmpty() && listedAt != null
+    /**
+     * Whether rental requests may be submitted. False before the first machine list, and while rentals are in progress:
+     * a snapshot taken then does not contain the machines that they bring.
+     */
+    val acceptsRequests: Boolean get() = !renting && submitted.isEmpty() && listedAt != null
 
-    /** Hands over what the last plan wants to rent. */
-    fun submit(rents: List<RentalRequest>) {
-        wanted = rents
-        if (rents.isNotEmpty() || cluster.machines.values.any { it.returning }) workRequests.trySend(Unit)
+    /** Submits the rental requests of a plan, which replace those not yet carried out. */
+    fun submit(requests: List<RentalRequest>) {
+        submitted = requests
+        if (requests.isNotEmpty() || cluster.machines.values.any { it.returning }) workRequests.trySend(Unit)
     }
 
-    /** Markets that had no capacity a moment ago. */
-    fun refused(): Set<Market> = refusedUntil.filterValues { it.hasNotPassedNow() }.keys
+    /** Markets that recently had no capacity, and are still in their cooldown. */
+    fun marketsInCooldown(): Set<Market> = cooldowns.filterValues { it.hasNotPassedNow() }.keys
 
     /** Runs until the scope of the term ends. */
     suspend fun run() {
         while (true) {
             if (isDue(pricedAt, PRICE_INTERVAL)) updatePrices()
             if (isDue(listedAt, listInterval)) updateList()
-            rentWanted()
-            if (term.holdsLease) release()
-            withTimeoutOrNull(PAUSE) { workRequests.receive() }
+            rentSubmitted()
+            if (term.holdsLease) returnMachines()
+            withTimeoutOrNull(RETRY_INTERVAL) { workRequests.receive() }
         }
     }
 
     private fun isDue(last: ComparableTimeMark?, interval: Duration) = last == null || last.elapsedNow() > interval
 
     private suspend fun updatePrices() {
-        val types = cloud.listMachineTypes() ?: return delay(PAUSE)
+        val types = cloud.listMachineTypes() ?: return delay(RETRY_INTERVAL)
         pricedAt = clocks.mark()
         cluster.types = types.associateBy { it.name }
         val now = clocks.now()
@@ -78,62 +82,65 @@
         inventory.update(machines)
     }
 
-    private suspend fun rentWanted() {
-        val rents = wanted
-        renting = rents.isNotEmpty()
-        wanted = emptyList()
-        for (rent in rents) {
-            for (count in callSizes(rent.count)) {
-                if (term.holdsLease && rent.market !in refused()) rent(rent.copy(count = count))
+    private suspend fun rentSubmitted() {
+        val requests = submitted
+        renting = requests.isNotEmpty()
+        submitted = emptyList()
+        for (request in requests) {
+            for (count in callSizes(request.count)) {
+                if (term.holdsLease && request.market !in marketsInCooldown()) rent(request.copy(count = count))
             }
         }
         renting = false
-        if (rents.isNotEmpty()) context.requestPlan()
+        if (requests.isNotEmpty()) context.requestPlan()
     }
 
     private fun callSizes(count: Int): List<Int> =
-        (List(count / mostPerCall) { mostPerCall } + count % mostPerCall).filter { it > 0 }
+        (List(count / maxPerCall) { maxPerCall } + count % maxPerCall).filter { it > 0 }
 
-    private suspend fun rent(rent: RentalRequest) {
-        // Names are never used twice: the token is this term's own.
+    private suspend fun rent(request: RentalRequest) {
+        // The name of a booking is never reused: it contains the token, which is unique to this term.
         val booking = "r-${term.token}-${++bookings}"
         repeat(RENT_ATTEMPTS) {
             if (!term.holdsLease) return
-            val rental = cloud.rent(booking, rent.market, rent.count, term::holdsLease)
-            if (rental is RentalOutcome.Rented) rented(booking, rent, rental.hosts)
-            if (rental is RentalOutcome.NoCapacity) refuse(rent.market)
-            // Without an answer the same name is asked for again; machines rented all the same show up in the list.
-            if (rental !is RentalOutcome.Unknown) return
-            delay(PAUSE)
+            val outcome = cloud.rent(booking, request.market, request.count, term::holdsLease)
+            if (outcome is RentalOutcome.Rented) addRented(booking, request, outcome.hosts)
+            if (outcome is RentalOutcome.NoCapacity) startCooldown(request.market)
+            // Without a response the request is repeated under the same name. Machines that were rented all the same
+            // appear in the machine list.
+            if (outcome !is RentalOutcome.Unknown) return
+            delay(RETRY_INTERVAL)
         }
     }
 
-    private fun rented(booking: String, rent: RentalRequest, hosts: List<String>) {
-        decisions.rented(booking, rent.market, rent.count, hosts, term.lastRenewedAt.elapsedNow())
-        cluster.addMachines(booking, rent.market, clocks.now(), hosts, rentedInThisTerm = true)
-        if (hosts.size < rent.count) refuse(rent.market)
+    private fun addRented(booking: String, request: RentalRequest, hosts: List<String>) {
+        decisions.rented(booking, request.market, request.count, hosts, term.lastRenewedAt.elapsedNow())
+        cluster.addMachines(booking, request.market, clocks.now(), hosts, rentedInThisTerm = true)
+        if (hosts.size < request.count) startCooldown(request.market)
     }
 
-    private fun refuse(market: Market) {
-        refusedUntil[market] = clocks.mark() + settings.tuning.marketCooldown
+    private fun startCooldown(market: Market) {
+        cooldowns[market] = clocks.mark() + settings.tuning.marketCooldown
     }
 
-    private suspend fun release() {
+    private suspend fun returnMachines() {
         val returning = cluster.machines.values.filter { it.returning }
         val hosts = returning.map { it.host }
         if (hosts.isEmpty() || !cloud.returnMachines(hosts, term::holdsLease)) return
         decisions.returned(hosts, term.lastRenewedAt.elapsedNow())
         returning.forEach(cluster::removeReturned)
-        refusedUntil -= returning.map { it.market }.toSet()
+        cooldowns -= returning.map { it.market }.toSet()
         context.requestPlan()
     }
 
     private companion object {
-        /** The protocol's limit of a rental request. */
-        const val MOST_PER_CALL = 50
+        /** The most machines that the cloud's protocol allows in one rental request. */
+        const val MAX_PER_REQUEST = 50
         const val RENT_ATTEMPTS = 4
-        val LEAST_LIST_INTERVAL = 5.seconds
+        val MIN_LIST_INTERVAL = 5.seconds
         val PRICE_INTERVAL = 20.seconds
-        val PAUSE = 1.seconds
+
+        /** The delay before a failed call is repeated, and the longest wait for new requests. */
+        val RETRY_INTERVAL = 1.seconds
     }
 }
--- a/src/main/kotlin/topazvale/reconcile/RunTimes.kt
+++ b/src/main/kotlin/topazvale/reconcile/RunTimes.kt
@@ -3,21 +3,24 @@
 import topazvale.model.JobSpec
 import kotlin.time.Duration
 
-/** The paper's estimate: the mean of the same team's two preceding run times in a class, or the owner's word. */
+/**
+ * Estimates run times as the paper does: by the mean of the last two run times of the same team in the same queue, or
+ * by the owner's estimate until there are two.
+ */
 class RunTimes {
     private val lastTwo = HashMap<Pair<String, String>, ArrayDeque<Duration>>()
 
-    /** A task of the job has run for this long. */
-    fun recordRun(spec: JobSpec, ran: Duration) {
-        val past = lastTwo.getOrPut(spec.team to spec.queue) { ArrayDeque() }
-        past.addLast(ran)
-        if (past.size > 2) past.removeFirst()
+    /** Records that a task of the job ran for [ranFor] until it was done. */
+    fun recordRun(spec: JobSpec, ranFor: Duration) {
+        val recent = lastTwo.getOrPut(spec.team to spec.queue) { ArrayDeque() }
+        recent.addLast(ranFor)
+        if (recent.size > 2) recent.removeFirst()
     }
 
-    /** How long a task of the job is expected to run. */
+    /** Returns the expected run time of a task of the job. */
     fun estimate(spec: JobSpec): Duration {
-        val past = lastTwo[spec.team to spec.queue]
-        if (past == null || past.size < 2) return spec.estimate
-        return (past.first() + past.last()) / 2
+        val recent = lastTwo[spec.team to spec.queue]
+        if (recent == null || recent.size < 2) return spec.estimate
+        return (recent.first() + recent.last()) / 2
     }
 }
--- a/src/main/kotlin/topazvale/reconcile/TaskStopper.kt
+++ b/src/main/kotlin/topazvale/reconcile/TaskStopper.kt
@@ -5,61 +5,64 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Which tasks are to stop, and with how much grace. */
+/** Decides which tasks are to stop, and with which termination grace period. */
 class TaskStopper(
     private val cluster: ClusterState,
     private val directCommands: DirectCommands,
     private val decisions: DecisionLog,
 ) {
     /**
-     * Whatever is left of jobs that are over or of gangs that lost a task, and what is on machines about to be taken.
-     * [reportedCancelled]: jobs that users were told are cancelled, by any controller. To stop a task needs no
-     * certainty of leading.
+     * Stops all tasks of jobs that must not run any more and of gangs that lost a task, and drains machines that the
+     * cloud is about to take back. [reportedCancelled] are the jobs that any controller has reported as cancelled to
+     * their users. Stopping a task does not require that the leader holds its lease.
      */
     fun requestStops(reportedCancelled: Set<String>) {
         for (job in cluster.jobs.values) job.isReportedCancelled = job.spec.id in reportedCancelled
         for (job in cluster.jobs.values) {
             if (job.placements.isEmpty()) continue
-            val broken = job.spec.isGang && !job.isComplete && job.placements.tasks.size < job.spec.tasks
+            val gangBroken = job.spec.isGang && !job.isComplete && job.placements.tasks.size < job.spec.tasks
             val reason = if (job.shouldRun) StopReason.GANG_BROKEN else StopReason.JOB_OVER
-            if (!job.shouldRun || broken) job.placements.all.forEach { stop(it, Duration.ZERO, reason) }
+            if (!job.shouldRun || gangBroken) job.placements.all.forEach { requestStop(it, Duration.ZERO, reason) }
         }
         for (machine in cluster.machines.values) if (machine.noticeEndsAt != null) drain(machine)
     }
 
-    /** Spares what it can of the work on a machine that is about to be taken. */
+    /** Stops those tasks on a machine about to be taken back that benefit from an early stop. */
     private fun drain(machine: ManagedMachine) {
         for (placed in machine.placements.values) {
             val job = cluster.jobs[placed.start.task.job]
-            if (job != null && placed.stopGracePeriod == null && gainsByStop(placed, job.spec)) {
-                val grace = saving(placed)
+            if (job != null && placed.stopGracePeriod == null && benefitsFromStop(placed, job.spec)) {
+                val gracePeriod = checkpointGracePeriod(placed)
                 val stopped = if (job.spec.isGang) job.placements.all else listOf(placed)
-                stopped.forEach { stop(it, grace, StopReason.MACHINE_TAKEN) }
+                stopped.forEach { requestStop(it, gracePeriod, StopReason.MACHINE_TAKEN) }
             }
         }
     }
 
-    /** A replica has nothing to lose, and the sooner it is proven gone, the sooner it serves elsewhere. */
-    private fun gainsByStop(placed: PlacedTask, spec: JobSpec) = spec.checkpoints || spec.isService || !placed.hasImage
+    /**
+     * A replica loses no work by a stop, and its replacement can start as soon as the replica is confirmed absent.
+     */
+    private fun benefitsFromStop(placed: PlacedTask, spec: JobSpec) =
+        spec.checkpoints || spec.isService || !placed.hasImage
 
-    /** Stops a task to make room for a job of higher rank. */
+    /** Stops a task so that a job of higher rank gets its capacity. */
     fun preempt(start: Start) {
         val placements = cluster.jobs[start.task.job]?.placements?.of(start.task.index).orEmpty()
         val placed = placements.firstOrNull { it.start == start } ?: return
-        stop(placed, saving(placed), StopReason.PREEMPTED)
+        requestStop(placed, checkpointGracePeriod(placed), StopReason.PREEMPTED)
     }
 
-    /** The grace in which a task can save what it has done, or none where there is nothing to save. */
-    private fun saving(placed: PlacedTask): Duration {
+    /** The grace period in which the task can save a checkpoint; zero if it has nothing to save. */
+    private fun checkpointGracePeriod(placed: PlacedTask): Duration {
         val spec = cluster.jobs[placed.start.task.job]?.spec
         return if (spec != null && spec.checkpoints && placed.hasImage) spec.saveTime + SAVE_MARGIN else Duration.ZERO
     }
 
-    private fun stop(placed: PlacedTask, grace: Duration, reason: StopReason) {
-        val before = placed.stopGracePeriod
-        if (before != null && grace >= before) return
-        placed.stopGracePeriod = grace
-        decisions.stopRequested(placed, reason, grace)
+    private fun requestStop(placed: PlacedTask, gracePeriod: Duration, reason: StopReason) {
+        val current = placed.stopGracePeriod
+        if (current != null && gracePeriod >= current) return
+        placed.stopGracePeriod = gracePeriod
+        decisions.stopRequested(placed, reason, gracePeriod)
         directCommands.enqueue(placed.machine)
     }
 
--- a/src/test/kotlin/topazvale/reconcile/JobEndRacesTest.kt
+++ b/src/test/kotlin/topazvale/reconcile/JobEndRacesTest.kt
@@ -24,38 +24,39 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * A view of a job from before its end reaches the leader after the end: a page of a listing, a watch's answer under way,
- * changes replayed from the revision of a listing's first page. Taken for a new job, it would run again with nothing
- * done, or, cancelled, against its user's word; it would take room and its team's limit.
+ * Guards against a job that becomes active again after its end, because a stale record of it arrives after the end: in
+ * a page of a listing, in a delayed watch response, or in events that the watch replays from the revision of a
+ * listing's first page. The leader would add it as a new job with no task done and run it again, even if its user
+ * cancelled it. It would occupy capacity and count against its team's limit.
  */
 @OptIn(ExperimentalCoroutinesApi::class)
 class JobEndRacesTest {
     /** How a job ends. */
-    private enum class End(val play: suspend Leader.() -> Unit) {
-        COMMITTED({ end() }),
-        ANSWER_LOST({
+    private enum class End(val endJob: suspend Leader.() -> Unit) {
+        COMMITTED({ finalizeJobs() }),
+        RESPONSE_LOST({
             state.losingAnswers = true
-            end()
+            finalizeJobs()
             state.losingAnswers = false
         }),
-        CARRIED_OUT_LATE({
+        APPLIED_LATE({
             state.lateWrites += 2500.milliseconds
-            end()
+            finalizeJobs()
             delay(1.seconds)
-            end()
+            finalizeJobs()
         }),
         CANCELLED_FIRST({
             writeJob(JobStatus.CANCELLED)
-            end()
-            end()
+            finalizeJobs()
+            finalizeJobs()
         }),
     }
 
-    /** Which older view of the job is under way meanwhile. */
-    private enum class View(val before: suspend Leader.(CoroutineScope) -> Unit) {
-        /** The watch is too old; the page with the job was made before the end, and takes its time. */
+    /** Which stale read of the job is pending when it ends. */
+    private enum class StaleRead(val begin: suspend Leader.(CoroutineScope) -> Unit) {
+        /** The watch's revision is too old; the listing's page with the job predates the end, and is delayed. */
         LISTING({ scope ->
-            load()
+            addJob()
             state.pageDelay = 3.seconds
             val from = store.revision
             store.commit(emptyList(), listOf(Change.Put("other", emptyMap())))
@@ -63,9 +64,12 @@
             watch(scope, from)
         }),
 
-        /** The job came after the listing's first page: the watch goes on from there, and its answer takes its time. */
+        /**
+         * The job is submitted after the listing's first page was read. The watch continues from that page's revision,
+         * and its response is delayed.
+         */
         REPLAY_AFTER_LISTING({ scope ->
-            load()
+            addJob()
             submitOther("job-0")
             state.pageSize = 1
             state.pageDelay = 400.milliseconds
@@ -79,7 +83,7 @@
             delay(800.milliseconds)
         }),
 
-        /** The same in a rebuild, at the beginning of a term. */
+        /** The same during the rebuild at the start of a term. */
         REPLAY_AFTER_REBUILD({ scope ->
             submitOther("job-0")
             state.pageSize = 1
@@ -91,12 +95,12 @@
             }
             delay(200.milliseconds)
             writeJob(JobStatus.LIVE)
-            until { "job-1" in cluster.jobs }
+            waitUntil { "job-1" in cluster.jobs }
         }),
 
-        /** The job's record was written anew, and the watch's answer with it takes its time. */
+        /** The watch response to the next write or deletion of the job's record is delayed. */
         EVENT({ scope ->
-            load()
+            addJob()
             state.watchDelay = 3.seconds
             watch(scope, store.revision)
             delay(100.milliseconds)
@@ -130,8 +134,8 @@
             store.commit(emptyList(), listOf(Change.Put(Keys.job(record.spec.id), JobRecords.encode(record))))
         }
 
-        /** The leader knows the job as it stands. */
-        fun load() {
+        /** Makes the job known to the leader in its current state. */
+        fun addJob() {
             cluster.addJob(JobRecord(Samples.array, Samples.now, JobStatus.LIVE), store.revision)
         }
 
@@ -139,34 +143,34 @@
             scope.launch { lifecycle.watch(from, clocks.mark()) }
         }
 
-        suspend fun end() = lifecycle.finalizeJobs { }
+        suspend fun finalizeJobs() = lifecycle.finalizeJobs { }
 
-        suspend fun until(reached: () -> Boolean) {
-            while (!reached()) delay(20.milliseconds)
+        suspend fun waitUntil(condition: () -> Boolean) {
+            while (!condition()) delay(20.milliseconds)
         }
     }
 
-    private fun play(view: View, end: End) = runTest {
-        val name = "$view, $end"
+    private fun runCase(read: StaleRead, end: End) = runTest {
+        val name = "$read, $end"
         val leader = Leader(this)
-        view.before(leader, backgroundScope)
+        read.begin(leader, backgroundScope)
         delay(50.milliseconds)
         val job = leader.cluster.jobs.getValue("job-1")
         for (index in 0 until job.spec.tasks) leader.cluster.markDone(job, index)
-        end.play(leader)
-        leader.until { leader.store.get(Keys.final("job-1")) != null }
-        leader.end()
-        assertEquals(false, "job-1" in leader.cluster.jobs, "$name: it is over")
+        end.endJob(leader)
+        leader.waitUntil { leader.store.get(Keys.final("job-1")) != null }
+        leader.finalizeJobs()
+        assertEquals(false, "job-1" in leader.cluster.jobs, "$name: the job has ended")
         repeat(400) {
             delay(25.milliseconds)
-            assertEquals(false, "job-1" in leader.cluster.jobs, "$name: and stays so")
+            assertEquals(false, "job-1" in leader.cluster.jobs, "$name: the job stays ended")
         }
     }
 
     @Test
-    fun `no older view of a job takes its end back`() {
-        val failed = View.entries.flatMap { view -> End.entries.map { view to it } }.mapNotNull { (view, end) ->
-            runCatching { play(view, end) }.exceptionOrNull()?.message
+    fun `no stale record makes an ended job active again`() {
+        val failed = StaleRead.entries.flatMap { read -> End.entries.map { read to it } }.mapNotNull { (read, end) ->
+            runCatching { runCase(read, end) }.exceptionOrNull()?.message
         }
         assertEquals(emptyList<String>(), failed)
     }
--- a/src/test/kotlin/topazvale/reconcile/JobLifecycleTest.kt
+++ b/src/test/kotlin/topazvale/reconcile/JobLifecycleTest.kt
@@ -28,14 +28,15 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The watch is told that its revision is too old, and the leader reads all jobs anew. A job that ends while that list is
- * on its way is still in it, and was taken for a new one with nothing done. Shown by the list of the leader's jobs two
- * seconds after the end: `expected: <[]> but was: <[job-1]>`. [JobEndRacesTest] has all ways to it that are known.
+ * Guards against a job that becomes active again after its end. The state service rejects the watch's revision as too
+ * old, and the leader relists all jobs. A job that ends while the listing is in transit is still contained in it, and
+ * was added as a new job with no task done: two seconds after the end the leader's jobs were `[job-1]` instead of `[]`.
+ * [JobEndRacesTest] covers all known ways to this failure.
  */
 @OptIn(ExperimentalCoroutinesApi::class)
 class JobLifecycleTest {
-    /** The watch is told once that its revision is too old; the list of all jobs that follows takes its time. */
-    private class LateListing(private val inner: StateService) : StateService by inner {
+    /** Rejects the revision of the first watch as too old, and delays the listing that follows. */
+    private class DelayedListing(private val inner: StateService) : StateService by inner {
         private var watches = 0
 
         override suspend fun watch(prefix: String, since: Long, wait: Duration): Outcome<Events> =
@@ -46,13 +47,13 @@
     }
 
     @Test
-    fun `a job that ends while all jobs are listed anew does not come back`() = runTest {
+    fun `a job that ends during a relist does not become active again`() = runTest {
         val clocks = virtualClocks()
         val store = FakeStateStore(clocks)
         store.commit(emptyList(), listOf(Change.Put(Keys.LEADER, mapOf("member" to "node-0"))))
         val record = JobRecord(Samples.array, Samples.now, JobStatus.LIVE)
         store.commit(emptyList(), listOf(Change.Put(Keys.job("job-1"), JobRecords.encode(record))))
-        val state = LateListing(FakeStateService(store))
+        val state = DelayedListing(FakeStateService(store))
         val records = RecordWriter(state, Condition(Keys.LEADER, 1), 16)
         val cluster = ClusterState(records, StartLog(records, 1, 8192), 8192, clocks)
         val job = cluster.addJob(record, store.revision)
@@ -61,9 +62,9 @@
         delay(100.milliseconds)
         for (index in 0 until job.spec.tasks) cluster.markDone(job, index)
         lifecycle.finalizeJobs { }
-        assertEquals(emptySet<String>(), cluster.jobs.keys, "it is over")
+        assertEquals(emptySet<String>(), cluster.jobs.keys, "the job has ended")
         delay(2.seconds)
-        assertEquals(emptySet<String>(), cluster.jobs.keys, "and stays so")
+        assertEquals(emptySet<String>(), cluster.jobs.keys, "the job stays ended")
     }
 
     private fun TestScope.virtualClocks() = Clocks(
--- a/src/test/kotlin/topazvale/reconcile/JobRegistryTest.kt
+++ b/src/test/kotlin/topazvale/reconcile/JobRegistryTest.kt
@@ -29,7 +29,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Which record of a job is news, and for how long the end of a job has to be remembered for that. */
+/** Which records of a job the registry accepts as newer, and how long it holds the tombstones that this requires. */
 @OptIn(ExperimentalCoroutinesApi::class)
 class JobRegistryTest {
     private val registry = JobRegistry(PlacementLedger(), JobLog(1))
@@ -41,7 +41,7 @@
         Event(Keys.job(id), Cbor.decodeMap(Cbor.encode(JobRecords.encode(record(id)))), version)
 
     @Test
-    fun `a record is news by its version, or if its job has not ended`() {
+    fun `a record is newer by its version, or if its job is unknown and has not ended`() {
         val cases = listOf(
             Triple(5L, JobStatus.LIVE, true),
             Triple(5L, JobStatus.LIVE, false),
@@ -49,9 +49,9 @@
             Triple(7L, JobStatus.CANCELLED, true),
             Triple(6L, JobStatus.LIVE, false),
         )
-        for ((version, status, news) in cases) {
+        for ((version, status, isNewer) in cases) {
             assertEquals(
-                news,
+                isNewer,
                 registry.applyRecord(record("job-1", status), version, RecordSource.EVENT),
                 "$version $status",
             )
@@ -66,75 +66,76 @@
     }
 
     @Test
-    fun `the end of a job is remembered until nothing from before it can arrive`() = runTest {
+    fun `a tombstone stays until no record from before the end can arrive`() = runTest {
         registry.add(record("job-1"), 5, RecordSource.REBUILD)
         registry.advanceWatchRevision(9)
         registry.markEnded("job-1", 12, RecordSource.READ)
-        assertEquals(1, registry.tombstoneCount, "the watch has not told of it yet")
-        val listed = CompletableDeferred<Unit>()
-        val listing = launch { registry.withPendingRead(RecordSource.LIST) { listed.await() } }
+        assertEquals(1, registry.tombstoneCount, "the watch has not delivered the end yet")
+        val listingDone = CompletableDeferred<Unit>()
+        val listing = launch { registry.withPendingRead(RecordSource.LIST) { listingDone.await() } }
         runCurrent()
         registry.advanceWatchRevision(11)
         assertEquals(1, registry.tombstoneCount)
         registry.advanceWatchRevision(15)
-        assertEquals(1, registry.tombstoneCount, "a listing from before the end is under way")
+        assertEquals(1, registry.tombstoneCount, "a listing that started before the end is pending")
         assertEquals(false, registry.applyRecord(record("job-1"), 5, RecordSource.LIST))
-        listed.complete(Unit)
+        listingDone.complete(Unit)
         listing.join()
         assertEquals(0, registry.tombstoneCount)
         registry.markEnded("job-2", 14, RecordSource.EVENT)
-        assertEquals(0, registry.tombstoneCount, "one that the watch is past is not worth remembering")
+        assertEquals(0, registry.tombstoneCount, "an end that the watch has already passed needs no tombstone")
     }
 
-    /** A reading that was broken off, with its term or by a failure, holds nothing back. */
+    /** A read that is cancelled, because its term ended or it failed, must not keep tombstones from being removed. */
     @Test
-    fun `the memory does not grow with the jobs that have ended`() = runTest {
-        val broken = launch { registry.withPendingRead(RecordSource.LIST) { delay(Duration.INFINITE) } }
+    fun `the number of tombstones does not grow with the number of ended jobs`() = runTest {
+        val cancelledRead = launch { registry.withPendingRead(RecordSource.LIST) { delay(Duration.INFINITE) } }
         runCurrent()
-        broken.cancel()
-        broken.join()
+        cancelledRead.cancel()
+        cancelledRead.join()
         for (i in 1..10_000L) {
             registry.add(record("job-$i"), 2 * i, RecordSource.EVENT)
             registry.markEnded("job-$i", 2 * i + 1, RecordSource.READ)
             if (i % 50 == 0L) registry.advanceWatchRevision(2 * i)
-            assertTrue(registry.tombstoneCount <= 51, "${registry.tombstoneCount} after $i jobs")
+            assertTrue(registry.tombstoneCount <= 51, "${registry.tombstoneCount} tombstones after $i jobs")
         }
     }
 
     @Test
     @Tag(InvariantExtension.VIOLATES)
-    fun `a job that comes back after its end is a violation, remembered or not`() {
+    fun `a job added again after its end is a violation, with or without a tombstone`() {
         val before = InvariantExtension.violations()
         registry.add(record("job-1"), 5, RecordSource.EVENT)
         registry.markEnded("job-1", 8, RecordSource.READ)
         assertEquals(before, InvariantExtension.violations())
         registry.add(record("job-1"), 5, RecordSource.EVENT)
-        assertEquals(before + 1, InvariantExtension.violations(), "its end is remembered")
+        assertEquals(before + 1, InvariantExtension.violations(), "the job has a tombstone")
         registry.markEnded("job-1", 8, RecordSource.READ)
         registry.advanceWatchRevision(20)
         assertEquals(0, registry.tombstoneCount)
         val beforeSecond = InvariantExtension.violations()
         registry.add(record("job-1"), 5, RecordSource.EVENT)
         registry.markEnded("job-1", 8, RecordSource.READ)
-        assertEquals(beforeSecond + 1, InvariantExtension.violations(), "its end is found to be older than its coming")
+        assertEquals(beforeSecond + 1, InvariantExtension.violations(), "the job ended before it became known")
     }
 
-    /** Answers watches with what is given, at once. */
-    private class Watched(private val inner: StateService, private val answers: List<Events>) : StateService by inner {
+    /** Responds to each watch at once with the next of the given [responses]. */
+    private class FakeWatch(private val inner: StateService, private val responses: List<Events>) :
+        StateService by inner {
         private var next = 0
 
         override suspend fun watch(prefix: String, since: Long, wait: Duration): Outcome<Events> {
             delay(1.milliseconds)
-            return answers.getOrNull(next++)?.let { Outcome.Ok(it) } ?: Outcome.Unknown
+            return responses.getOrNull(next++)?.let { Outcome.Ok(it) } ?: Outcome.Unknown
         }
     }
 
-    private fun watching(vararg answers: Events, check: suspend (JobWatch) -> Unit) = runTest {
+    private fun runWatch(vararg responses: Events, check: suspend (JobWatch) -> Unit) = runTest {
         val clock = object : Clock {
             override fun now() = Samples.now + testScheduler.currentTime.milliseconds
         }
         val clocks = Clocks(testScheduler.timeSource, clock)
-        val state = Watched(FakeStateService(FakeStateStore(clocks)), answers.toList())
+        val state = FakeWatch(FakeStateService(FakeStateStore(clocks)), responses.toList())
         val watch = JobWatch(state, registry, clocks) { }
         backgroundScope.launch { watch.run(3, clocks.mark()) }
         delay(1.seconds)
@@ -142,18 +143,21 @@
     }
 
     @Test
-    fun `the changes of an answer may come in any order`() {
+    fun `the events of a watch response may come in any order`() {
         val deletion = Event(Keys.job("job-1"), null, 6)
-        watching(Events(listOf(event("job-2", 9), deletion, event("job-1", 4)), 9)) {
+        runWatch(Events(listOf(event("job-2", 9), deletion, event("job-1", 4)), 9)) {
             assertEquals(setOf("job-2"), registry.jobs.keys)
             assertEquals(0, registry.tombstoneCount)
         }
     }
 
-    /** An empty answer was taken to prove that nothing changed for the whole wait, however soon it came. */
+    /** An empty response was treated as covering the whole wait, however early it arrived. */
     @Test
-    fun `an empty answer that comes early proves nothing of the rest of the wait`() =
-        watching(Events(emptyList(), 3)) { watch ->
-            assertTrue(watch.currentAsOf.elapsedNow() >= 900.milliseconds, "seen ${watch.currentAsOf.elapsedNow()} ago")
+    fun `an empty response that arrives early does not cover the rest of the wait`() =
+        runWatch(Events(emptyList(), 3)) { watch ->
+            assertTrue(
+                watch.currentAsOf.elapsedNow() >= 900.milliseconds,
+                "current as of ${watch.currentAsOf.elapsedNow()} ago",
+            )
         }
 }
--- a/src/test/kotlin/topazvale/reconcile/SnapshotBuilderTest.kt
+++ b/src/test/kotlin/topazvale/reconcile/SnapshotBuilderTest.kt
@@ -18,9 +18,9 @@
 import topazvale.wire.Condition
 
 class SnapshotBuilderTest {
-    /** Ordinary work waits for tasks with its image to end; a replica with the same image does not end. */
+    /** Ordinary work may wait for running tasks with its image to end; a replica with that image does not end. */
     @Test
-    fun `replicas are not among the tasks that will soon leave a machine with their image`() {
+    fun `replicas are not counted among the running tasks whose machines other work waits for`() {
         val records = RecordWriter(FakeStateService(FakeStateStore()), Condition("leader", 7), 16)
         val cluster = ClusterState(records, StartLog(records, 7, 8192), 8192, Clocks.SYSTEM)
         cluster.addMachines("r-1", Market("plain", "a", false), Samples.now, listOf("n-1"), rentedInThisTerm = true)
