--- a/src/main/kotlin/topazvale/reconcile/Invariants.kt
+++ b/src/main/kotlin/topazvale/reconcile/Invariants.kt
@@ -4,8 +4,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Reports violations of conditions that hold at any time, whatever fails. A violation is logged at `error` and counted;
- * any test in which one occurs fails.
+ * Reports violations of conditions that must hold at any time, whatever fails. A violation is logged at `error` and
+ * counted, and fails the test in which it occurs.
  */
 object Invariants {
     /** Name of the counter; its tag `invariant` names the violated invariant. */
--- a/src/main/kotlin/topazvale/reconcile/JobLog.kt
+++ b/src/main/kotlin/topazvale/reconcile/JobLog.kt
@@ -21,7 +21,7 @@
             .add("endedAt", revision).add("source", source).log("job_ended")
 
     /** A stale record of a job was ignored: it arrived after the job's end at revision [endedAt]. */
-    fun oldRecordIgnored(id: String, version: Long, endedAt: Long, source: RecordSource) =
+    fun staleRecordIgnored(id: String, version: Long, endedAt: Long, source: RecordSource) =
         jobEvent(id, log.atInfo()).add("version", version).add("endedAt", endedAt).add("source", source)
             .log("old_record_ignored")
 
--- a/src/main/kotlin/topazvale/reconcile/JobRegistry.kt
+++ b/src/main/kotlin/topazvale/reconcile/JobRegistry.kt
@@ -62,7 +62,7 @@
         val known = activeJobs[id]
         val endedAt = tombstones[id]
         return when {
-            endedAt != null -> false.also { log.oldRecordIgnored(id, version, endedAt, source) }
+            endedAt != null -> false.also { log.staleRecordIgnored(id, version, endedAt, source) }
             known == null -> true.also { add(record, version, source) }
             version <= known.version -> false
             else -> true.also { known.update(record, version) }
