--- a/src/main/kotlin/topazvale/reconcile/MachineInventory.kt
+++ b/src/main/kotlin/topazvale/reconcile/MachineInventory.kt
@@ -60,11 +60,11 @@
         val age = clocks.now() - machine.rentedAt
         // Counts every report, also unanswered ones: a leader that may not respond to reports must not return machines
         // as unresponsive.
-        val seenAt = machine.lastReportAt
+        val reportedAt = machine.lastReportAt
         return when {
             machine.failed -> ReturnReason.FAILED
             machine.consecutiveFailures >= MachineSnapshots.MAX_CONSECUTIVE_FAILURES -> ReturnReason.FAULTY
-            seenAt != null -> ReturnReason.SILENT.takeIf { seenAt.elapsedNow() > lease * UNRESPONSIVE_LEASES }
+            reportedAt != null -> ReturnReason.SILENT.takeIf { reportedAt.elapsedNow() > lease * UNRESPONSIVE_LEASES }
             hasBootTimedOut(machine, type, age) -> ReturnReason.NEVER_UP
             else -> ReturnReason.UNLISTED.takeIf { isUnlisted(machine, age) }
         }
--- a/src/main/kotlin/topazvale/reconcile/MachineSnapshots.kt
+++ b/src/main/kotlin/topazvale/reconcile/MachineSnapshots.kt
@@ -51,8 +51,8 @@
     }
 
     private fun isReporting(machine: ManagedMachine, context: SnapshotContext): Boolean {
-        val reportedAt = machine.lastAnsweredReportAt ?: return false
-        return context.mark - reportedAt < settings.workers.reportInterval * MAX_MISSED_REPORTS &&
+        val lastAnsweredAt = machine.lastAnsweredReportAt ?: return false
+        return context.mark - lastAnsweredAt < settings.workers.reportInterval * MAX_MISSED_REPORTS &&
             machine.responseDelivery.isConfirmed
     }
 
@@ -91,13 +91,9 @@
         )
     }
 
-    private fun expectedIn(spec: JobSpec, placed: PlacedTask, remaining: Duration): Duration = if (spec.isService &&
-        placed.stopGracePeriod == null
-    ) {
-        Duration.INFINITE
-    } else {
-        remaining.coerceAtLeast(Duration.ZERO)
-    }
+    /** The time until the task is expected to release its capacity; [left] is the rest of its estimated run time. */
+    private fun expectedIn(spec: JobSpec, placed: PlacedTask, left: Duration): Duration =
+        if (spec.isService && placed.stopGracePeriod == null) Duration.INFINITE else left.coerceAtLeast(Duration.ZERO)
 
     /**
      * Gangs are exempt, and so are jobs past the starvation threshold with no task done: such a job got its capacity
