--- a/src/main/kotlin/topazvale/cloud/CloudService.kt
+++ b/src/main/kotlin/topazvale/cloud/CloudService.kt
@@ -4,38 +4,38 @@
 import topazvale.model.MachineType
 import topazvale.model.Market
 
-/** What became of a rental request. */
+/** The result of a rental request. */
 sealed interface RentalOutcome {
-    /** The machines rented, which may be fewer than asked for. */
+    /** The rented machines, possibly fewer than requested. */
     data class Rented(val hosts: List<String>) : RentalOutcome
 
-    /** None available in this market. */
+    /** This market has no machine available. */
     data object NoCapacity : RentalOutcome
 
-    /** Not carried out, for a reason that says nothing of capacity. */
+    /** The request was not carried out, for a reason unrelated to capacity. */
     data object Refused : RentalOutcome
 
-    /** No word: ask again under the same name. */
+    /** No response: the caller repeats the request under the same name. */
     data object Unknown : RentalOutcome
 }
 
 /**
- * Rents machines by the second. What changes something is asked for only while it is [precondition][rent]: calls wait
- * for their turn, and whoever asked may have lost the right to by then.
+ * Rents machines, which the cloud bills by the second. Calls wait for the rate limiter, and their caller may meanwhile
+ * have lost the right to make them. Calls that change something therefore have a precondition (see [rent]).
  */
 interface CloudService {
-    /** The machine types with their current prices; null without an answer. */
+    /** Returns the machine types with their current prices, or null if there is no response. */
     suspend fun listMachineTypes(): List<MachineType>?
 
     /**
-     * Rents machines under a request name that is never used for anything else. [precondition] is asked again as it
-     * leaves.
+     * Rents machines. The [name] identifies the request and is never reused for another one. The [precondition] is
+     * evaluated just before the request is sent; a request whose precondition does not hold is not sent.
      */
     suspend fun rent(name: String, market: Market, count: Int, precondition: () -> Boolean): RentalOutcome
 
-    /** True once the machines and all that ran on them are gone. */
+    /** Returns machines to the cloud. The result is true once the machines and all tasks on them are gone. */
     suspend fun returnMachines(hosts: List<String>, precondition: () -> Boolean): Boolean
 
-    /** All machines, as of some seconds ago; null where the cloud did not answer. */
+    /** Returns all rented machines as of some seconds ago, or null if the cloud does not respond. */
     suspend fun listMachines(): List<ListedMachine>?
 }
--- a/src/main/kotlin/topazvale/cloud/HttpCloudService.kt
+++ b/src/main/kotlin/topazvale/cloud/HttpCloudService.kt
@@ -17,26 +17,28 @@
 import topazvale.wire.MalformedException
 import kotlin.time.Duration.Companion.seconds
 
-/** The cloud over HTTP, within its rate. */
+/** The [CloudService] over HTTP, within the rate limit of the cloud. */
 class HttpCloudService(vertx: Vertx, private val address: Address, limits: CloudLimits) : CloudService {
     private val log = LoggerFactory.getLogger(HttpCloudService::class.java)
     private val http = Http(vertx, maxConnections = 2, connectTimeout = 2.seconds)
 
-    // The other nodes ask for machine types now and then.
-    private val calls = TokenBucket(limits.rps * LEADER_SHARE, limits.rps)
+    // The leader uses only a share of the rate limit, as the other nodes request the machine types now and then.
+    private val rateLimiter = TokenBucket(limits.rps * LEADER_SHARE, limits.rps)
 
-    override suspend fun listMachineTypes(): List<MachineType>? = read(call(HttpMethod.GET, "/flavors", null)) {
-        CloudWire.types(it)
+    override suspend fun listMachineTypes(): List<MachineType>? = decodeOrNull(call(HttpMethod.GET, "/flavors", null)) {
+        CloudWire.decodeMachineTypes(it)
     }
 
     override suspend fun rent(name: String, market: Market, count: Int, precondition: () -> Boolean): RentalOutcome {
-        val body = CloudWire.rental(name, market, count)
-        val reply = call(HttpMethod.POST, "/hosts", body, precondition) ?: return RentalOutcome.Unknown
-        return when (reply.status) {
+        val body = CloudWire.encodeRental(name, market, count)
+        val response = call(HttpMethod.POST, "/hosts", body, precondition) ?: return RentalOutcome.Unknown
+        return when (response.status) {
             HttpStatus.OK ->
-                read(reply) { CloudWire.rented(it) }?.let { RentalOutcome.Rented(it) } ?: RentalOutcome.Unknown
+                decodeOrNull(response) { CloudWire.decodeRentedHosts(it) }?.let { RentalOutcome.Rented(it) }
+                    ?: RentalOutcome.Unknown
 
-            HttpStatus.UNAVAILABLE -> if (lacksCapacity(reply)) RentalOutcome.NoCapacity else RentalOutcome.Refused
+            HttpStatus.UNAVAILABLE ->
+                if (isLackOfCapacity(response)) RentalOutcome.NoCapacity else RentalOutcome.Refused
 
             HttpStatus.TOO_MANY_REQUESTS, HttpStatus.BAD_REQUEST -> RentalOutcome.Refused
 
@@ -44,22 +46,25 @@
         }
     }
 
-    /** An outage has the same status, with another text in its body. */
-    private fun lacksCapacity(reply: HttpResponse) = String(reply.body, Charsets.ISO_8859_1).contains("no capacity")
+    /** An outage has the same status as a lack of capacity, but another text in its body. */
+    private fun isLackOfCapacity(response: HttpResponse) =
+        String(response.body, Charsets.ISO_8859_1).contains("no capacity")
 
     override suspend fun returnMachines(hosts: List<String>, precondition: () -> Boolean): Boolean =
-        hosts.chunked(MAX_RELEASE).all { names ->
-            call(HttpMethod.POST, "/hosts/release", CloudWire.release(names), precondition)?.status == HttpStatus.OK
+        hosts.chunked(MAX_RETURNS_PER_CALL).all { chunk ->
+            call(HttpMethod.POST, "/hosts/release", CloudWire.encodeReturn(chunk), precondition)?.status ==
+                HttpStatus.OK
         }
 
     override suspend fun listMachines(): List<ListedMachine>? {
-        val all = ArrayList<ListedMachine>()
+        val listed = ArrayList<ListedMachine>()
         var since = ""
         while (true) {
             val page =
-                read(call(HttpMethod.GET, "/hosts?limit=$PAGE$since", null)) { CloudWire.page(it) } ?: return null
-            all += page.machines
-            if (!page.more || page.machines.isEmpty()) return all
+                decodeOrNull(call(HttpMethod.GET, "/hosts?limit=$PAGE_SIZE$since", null)) { CloudWire.decodePage(it) }
+                    ?: return null
+            listed += page.machines
+            if (!page.hasMore || page.machines.isEmpty()) return listed
             since = "&since=${page.machines.last().host}"
         }
     }
@@ -70,21 +75,21 @@
         body: ByteArray?,
         precondition: () -> Boolean = { true },
     ): HttpResponse? {
-        calls.acquire()
-        return http.call(address, Call(method, path, body, LIMIT), precondition)
+        rateLimiter.acquire()
+        return http.call(address, Call(method, path, body, TIMEOUT), precondition)
     }
 
-    private fun <T> read(reply: HttpResponse?, decode: (ByteArray) -> T): T? = try {
-        if (reply?.status == HttpStatus.OK) decode(reply.body) else null
+    private fun <T> decodeOrNull(response: HttpResponse?, decode: (ByteArray) -> T): T? = try {
+        if (response?.status == HttpStatus.OK) decode(response.body) else null
     } catch (e: MalformedException) {
-        log.warn("the cloud's answer cannot be read: {}", e.message)
+        log.warn("the cloud's response cannot be read: {}", e.message)
         null
     }
 
     private companion object {
-        const val MAX_RELEASE = 100
-        const val PAGE = 500
+        const val MAX_RETURNS_PER_CALL = 100
+        const val PAGE_SIZE = 500
         const val LEADER_SHARE = 0.85
-        val LIMIT = 3.seconds
+        val TIMEOUT = 3.seconds
     }
 }
--- a/src/main/kotlin/topazvale/net/Http.kt
+++ b/src/main/kotlin/topazvale/net/Http.kt
@@ -16,13 +16,16 @@
 import topazvale.config.Address
 import kotlin.time.Duration
 
-/** A request and how long its reply is waited for. */
-class Call(val method: HttpMethod, val path: String, val body: ByteArray?, val limit: Duration)
+/** A request with the time after which the client stops waiting for its response. */
+class Call(val method: HttpMethod, val path: String, val body: ByteArray?, val timeout: Duration)
 
 /** The response to a [Call]. */
 class HttpResponse(val status: Int, val body: ByteArray)
 
-/** Requests with a time limit. No reply (null) means that the request may or may not have been carried out. */
+/**
+ * An HTTP client with a pool of keep-alive connections and a timeout for each request. Where it returns null instead of
+ * a response, the request may or may not have been carried out.
+ */
 class Http(
     vertx: Vertx,
     maxConnections: Int,
@@ -43,12 +46,17 @@
         .build()
 
     /**
-     * The reply, or null where none came within the call's limit. [precondition] is asked again as the request is about
-     * to leave: a process may have stood still since it was begun.
+     * Returns the response, or null if none arrives within the call's timeout. The [precondition] is evaluated just
+     * before the request is sent, as the process may have been suspended since the call began. A request whose
+     * precondition does not hold is not sent.
      */
-    suspend fun call(to: Address, call: Call, precondition: () -> Boolean = { true }): HttpResponse? =
-        withTimeoutOrNull(call.limit) {
-            val options = RequestOptions().setHost(to.host).setPort(to.port).setMethod(call.method).setURI(call.path)
+    suspend fun call(address: Address, call: Call, precondition: () -> Boolean = { true }): HttpResponse? =
+        withTimeoutOrNull(call.timeout) {
+            val options = RequestOptions()
+                .setHost(address.host)
+                .setPort(address.port)
+                .setMethod(call.method)
+                .setURI(call.path)
             try {
                 val request = client.request(options).coAwait()
                 if (precondition()) {
@@ -60,20 +68,23 @@
             } catch (e: CancellationException) {
                 throw e
             } catch (
-                // Refused, reset or garbled: all that counts is that no reply came.
+                // A refused or reset connection and a malformed response all count as no response.
                 @Suppress("TooGenericExceptionCaught") e: Exception,
             ) {
-                log.debug("no reply from {}: {}", to, e.toString())
+                log.debug("no response from {}: {}", address, e.toString())
                 null
             }
         }
 
     private suspend fun send(request: HttpClientRequest, body: ByteArray?): HttpResponse = try {
-        val sent = if (body == null) request.send() else request.send(Buffer.buffer(body))
-        // The body is asked for as its head arrives: a caller on another thread would come too late for it.
-        sent.compose { response -> response.body().map { HttpResponse(response.statusCode(), it.bytes) } }.coAwait()
+        val pendingResponse = if (body == null) request.send() else request.send(Buffer.buffer(body))
+        // The body is requested in the handler of the response head: a caller on another thread would be too late for
+        // it.
+        pendingResponse
+            .compose { response -> response.body().map { HttpResponse(response.statusCode(), it.bytes) } }
+            .coAwait()
     } catch (e: CancellationException) {
-        // The connection may still deliver the answer to a request given up: it must not be used again.
+        // The connection may still deliver the response to the cancelled request, so it must not be reused.
         request.connection()?.close()
         throw e
     }
--- a/src/main/kotlin/topazvale/net/HttpStatus.kt
+++ b/src/main/kotlin/topazvale/net/HttpStatus.kt
@@ -1,6 +1,6 @@
 package topazvale.net
 
-/** The statuses of HTTP that the protocols use. */
+/** The HTTP status codes that the protocols use. */
 object HttpStatus {
     const val OK = 200
     const val CREATED = 201
--- a/src/main/kotlin/topazvale/net/Sockets.kt
+++ b/src/main/kotlin/topazvale/net/Sockets.kt
@@ -3,37 +3,37 @@
 import io.vertx.core.http.HttpConnection
 
 /**
- * The sockets in use, as a process may have only so many. At the limit even the connections of workers would be
- * refused, which must not happen: what can do without a connection of its own does so before.
+ * Counts the open connections against the number of sockets that the process may use. At that limit even connections
+ * from workers would be refused. To prevent this, optional connections are given up before the limit is reached.
  *
- * [fixedConnections] are those of clients with a fixed number of connections.
+ * [fixedConnections] is the number of connections of clients whose connection pool has a fixed size.
  */
 class Sockets(private val limit: Int, private val fixedConnections: Int) {
     var openConnections = 0
         private set
 
-    /** Whether a connection that is only good for speed may still be made. */
-    val hasSpare: Boolean get() = limit - fixedConnections - openConnections > limit / SPARE_PART
+    /** Whether a connection may be opened that only improves latency. */
+    val hasSpare: Boolean get() = limit - fixedConnections - openConnections > limit / SPARE_DIVISOR
 
-    /** Whether so few are left that callers who could as well be served by another node should not keep theirs. */
-    val isScarce: Boolean get() = limit - fixedConnections - openConnections < limit / SCARCE_PART
+    /** Whether so few sockets are left that callers which another node can serve must not keep their connections. */
+    val isScarce: Boolean get() = limit - fixedConnections - openConnections < limit / SCARCE_DIVISOR
 
-    /** Counts the connection until it is closed. */
+    /** Counts the connection as open until it is closed. */
     fun track(connection: HttpConnection) {
-        opened()
-        connection.closeHandler { closed() }
+        recordOpened()
+        connection.closeHandler { recordClosed() }
     }
 
-    internal fun opened() {
+    internal fun recordOpened() {
         openConnections++
     }
 
-    internal fun closed() {
+    internal fun recordClosed() {
         openConnections--
     }
 
     private companion object {
-        const val SPARE_PART = 50
-        const val SCARCE_PART = 20
+        const val SPARE_DIVISOR = 50
+        const val SCARCE_DIVISOR = 20
     }
 }
--- a/src/main/kotlin/topazvale/net/TokenBucket.kt
+++ b/src/main/kotlin/topazvale/net/TokenBucket.kt
@@ -7,45 +7,48 @@
 import kotlin.time.TimeMark
 import kotlin.time.TimeSource
 
-/** Keeps calls under a rate. Bursts of [burst] tokens are allowed; a taker may run into debt and then waits. */
+/**
+ * A token bucket that limits the rate of calls and allows bursts of up to [burst] tokens. The balance may become
+ * negative: [acquire] takes its tokens at once and then waits until the bucket has refilled.
+ */
 class TokenBucket(
-    private val perSecond: Double,
+    private val tokensPerSecond: Double,
     private val burst: Double,
     private val time: TimeSource = TimeSource.Monotonic,
 ) {
     private var tokens = burst
-    private var filled: TimeMark = time.markNow()
+    private var lastRefill: TimeMark = time.markNow()
 
-    private fun fill() {
-        val passed = filled.elapsedNow()
-        filled = time.markNow()
-        tokens = minOf(burst, tokens + perSecond * passed.toDouble(DurationUnit.SECONDS))
+    private fun refill() {
+        val elapsed = lastRefill.elapsedNow()
+        lastRefill = time.markNow()
+        tokens = minOf(burst, tokens + tokensPerSecond * elapsed.toDouble(DurationUnit.SECONDS))
     }
 
-    /** Takes [n] tokens whatever is left: for calls that go before all others. */
-    fun acquireImmediately(n: Int = 1) {
-        fill()
-        tokens -= n
+    /** Takes [count] tokens without waiting, even if too few are left: for calls that precede all others. */
+    fun acquireImmediately(count: Int = 1) {
+        refill()
+        tokens -= count
     }
 
-    /** Takes [n] tokens if they are there. */
-    fun tryAcquire(n: Int = 1): Boolean {
-        fill()
-        if (tokens < n) return false
-        tokens -= n
+    /** Takes [count] tokens and returns true, or takes none and returns false if fewer are left. */
+    fun tryAcquire(count: Int = 1): Boolean {
+        refill()
+        if (tokens < count) return false
+        tokens -= count
         return true
     }
 
-    /** How long until a taker of [n] tokens would not have to wait. */
-    fun waitTime(n: Int = 1): Duration {
-        fill()
-        return if (tokens >= n) Duration.ZERO else ((n - tokens) / perSecond).seconds
+    /** The time until [count] tokens can be acquired without waiting. */
+    fun waitTime(count: Int = 1): Duration {
+        refill()
+        return if (tokens >= count) Duration.ZERO else ((count - tokens) / tokensPerSecond).seconds
     }
 
-    /** Takes [n] tokens, and waits until they would have been there. */
-    suspend fun acquire(n: Int = 1) {
-        val wait = waitTime(n)
-        tokens -= n
+    /** Takes [count] tokens, then suspends until the bucket would have held them. */
+    suspend fun acquire(count: Int = 1) {
+        val wait = waitTime(count)
+        tokens -= count
         if (wait > Duration.ZERO) delay(wait)
     }
 }
--- a/src/main/kotlin/topazvale/state/HttpStateService.kt
+++ b/src/main/kotlin/topazvale/state/HttpStateService.kt
@@ -23,120 +23,127 @@
 import kotlin.time.TimeSource
 
 /**
- * The state service over HTTP. Renewals have connections of their own and take their tokens without waiting, so that
- * no amount of other work can cost the leader its lease.
+ * The [StateService] over HTTP. Lease calls have a connection pool of their own and take their tokens without waiting,
+ * so that the load of other calls cannot cost the leader its lease.
  */
 class HttpStateService(vertx: Vertx, private val address: Address, limits: StateLimits, nodes: Int) : StateService {
     private val log = LoggerFactory.getLogger(HttpStateService::class.java)
-    private val calls = Http(vertx, maxConnections = 8, connectTimeout = 1.seconds)
-    private val renewals = Http(vertx, maxConnections = 2, connectTimeout = 1.seconds)
-    private val watches = Http(vertx, maxConnections = 2, connectTimeout = 1.seconds)
+    private val client = Http(vertx, maxConnections = 8, connectTimeout = 1.seconds)
+    private val leaseClient = Http(vertx, maxConnections = 2, connectTimeout = 1.seconds)
+    private val watchClient = Http(vertx, maxConnections = 2, connectTimeout = 1.seconds)
 
-    // Any node may at times do most of the work, so that each has more than its even share; a 429 tells of the rest.
-    private val requests = limits.rps.let { TokenBucket(it * share(nodes), it * share(nodes) / 2) }
-    private val writes = limits.writeRps.let { TokenBucket(it * share(nodes), it * share(nodes)) }
-    private var lastAnswer: ComparableTimeMark = TimeSource.Monotonic.markNow()
+    // Any node may at times do most of the work, so each may use more than an even share of the limits. Where the nodes
+    // together exceed a limit, the service responds with 429.
+    private val requestLimiter = limits.rps.let { TokenBucket(it * nodeShare(nodes), it * nodeShare(nodes) / 2) }
+    private val writeLimiter = limits.writeRps.let { TokenBucket(it * nodeShare(nodes), it * nodeShare(nodes)) }
+    private var lastResponseAt: ComparableTimeMark = TimeSource.Monotonic.markNow()
 
-    override val timeSinceLastResponse: Duration get() = lastAnswer.elapsedNow()
+    override val timeSinceLastResponse: Duration get() = lastResponseAt.elapsedNow()
 
     override suspend fun get(key: String): Outcome<Entry> {
-        if (!admit(0)) return Outcome.Refused
-        return outcome(call(calls, HttpMethod.GET, "/kv/$key", null)) { StateWire.entry(it) }
+        if (!tryAcquireTokens(0)) return Outcome.Refused
+        return outcome(call(client, HttpMethod.GET, "/kv/$key", null)) { StateWire.decodeEntry(it) }
     }
 
     override suspend fun list(prefix: String, after: String?): Outcome<Page> {
-        requests.acquire()
-        val since = if (after == null) "" else "&since=$after"
-        return outcome(call(calls, HttpMethod.GET, "/kv?under=$prefix$since&limit=$PAGE", null)) { StateWire.page(it) }
+        requestLimiter.acquire()
+        val sinceParameter = if (after == null) "" else "&since=$after"
+        return outcome(
+            call(client, HttpMethod.GET, "/kv?under=$prefix$sinceParameter&limit=$PAGE_SIZE", null),
+        ) { StateWire.decodePage(it) }
     }
 
     override suspend fun commit(conditions: List<Condition>, changes: List<Change>, urgent: Boolean): Commit {
         if (urgent) {
-            requests.acquire()
-            writes.acquire(changes.size)
-        } else if (!admit(changes.size)) {
+            requestLimiter.acquire()
+            writeLimiter.acquire(changes.size)
+        } else if (!tryAcquireTokens(changes.size)) {
             return Commit.Refused
         }
-        return commitOutcome(call(calls, HttpMethod.POST, "/commit", StateWire.transaction(conditions, changes)))
+        return commitOutcome(call(client, HttpMethod.POST, "/commit", StateWire.encodeTransaction(conditions, changes)))
     }
 
-    private fun commitOutcome(reply: HttpResponse?): Commit = try {
-        when (reply?.status) {
+    private fun commitOutcome(response: HttpResponse?): Commit = try {
+        when (response?.status) {
             null -> Commit.Unknown
-            HttpStatus.OK -> Commit.Done(StateWire.revision(reply.body))
-            HttpStatus.CONFLICT -> Commit.Failed(StateWire.failed(reply.body))
-            HttpStatus.BAD_REQUEST -> if (StateWire.leaseGone(reply.body)) Commit.LeaseGone else Commit.Invalid
+            HttpStatus.OK -> Commit.Done(StateWire.decodeRevision(response.body))
+            HttpStatus.CONFLICT -> Commit.Failed(StateWire.decodeFailedKeys(response.body))
+            HttpStatus.BAD_REQUEST -> if (StateWire.isLeaseGone(response.body)) Commit.LeaseGone else Commit.Invalid
             HttpStatus.CONTENT_TOO_LARGE -> Commit.Invalid
             HttpStatus.TOO_MANY_REQUESTS, HttpStatus.UNAVAILABLE -> Commit.Refused
             else -> Commit.Unknown
         }
     } catch (e: MalformedException) {
-        log.warn("the answer to a transaction cannot be read: {}", e.message)
+        log.warn("the response to a transaction cannot be read: {}", e.message)
         Commit.Unknown
     }
 
     override suspend fun grant(ttl: Duration): Outcome<Long> {
-        requests.acquireImmediately()
-        return outcome(call(renewals, HttpMethod.POST, "/grants", StateWire.grant(ttl.inWholeMilliseconds))) {
-            StateWire.lease(it)
+        requestLimiter.acquireImmediately()
+        return outcome(
+            call(leaseClient, HttpMethod.POST, "/grants", StateWire.encodeLeaseRequest(ttl.inWholeMilliseconds)),
+        ) {
+            StateWire.decodeLease(it)
         }
     }
 
     override suspend fun renew(lease: Long): Outcome<Unit> {
-        requests.acquireImmediately()
-        return outcome(call(renewals, HttpMethod.POST, "/grants/$lease/touch", null, RENEW_LIMIT)) { }
+        requestLimiter.acquireImmediately()
+        return outcome(call(leaseClient, HttpMethod.POST, "/grants/$lease/touch", null, RENEWAL_TIMEOUT)) { }
     }
 
     override suspend fun watch(prefix: String, since: Long, wait: Duration): Outcome<Events> {
-        requests.acquireImmediately()
+        requestLimiter.acquireImmediately()
         val path = "/watch?under=$prefix&since=$since&waitMs=${wait.inWholeMilliseconds}"
-        return outcome(call(watches, HttpMethod.GET, path, null, wait + LIMIT)) { StateWire.events(it) }
+        return outcome(call(watchClient, HttpMethod.GET, path, null, wait + TIMEOUT)) { StateWire.decodeEvents(it) }
     }
 
-    private fun admit(changes: Int): Boolean =
-        requests.waitTime() == Duration.ZERO && (changes == 0 || writes.tryAcquire(changes)) && requests.tryAcquire()
+    private fun tryAcquireTokens(changes: Int): Boolean = requestLimiter.waitTime() == Duration.ZERO &&
+        (changes == 0 || writeLimiter.tryAcquire(changes)) &&
+        requestLimiter.tryAcquire()
 
     private suspend fun call(
         http: Http,
         method: HttpMethod,
         path: String,
         body: ByteArray?,
-        limit: Duration = LIMIT,
+        timeout: Duration = TIMEOUT,
     ): HttpResponse? {
-        val reply = http.call(address, Call(method, path, body, limit))
-        if (reply != null && !isRefusal(reply)) lastAnswer = TimeSource.Monotonic.markNow()
-        return reply
+        val response = http.call(address, Call(method, path, body, timeout))
+        if (response != null && !isRefusal(response)) lastResponseAt = TimeSource.Monotonic.markNow()
+        return response
     }
 
-    private fun isRefusal(reply: HttpResponse) =
-        reply.status == HttpStatus.TOO_MANY_REQUESTS || reply.status == HttpStatus.UNAVAILABLE
+    private fun isRefusal(response: HttpResponse) =
+        response.status == HttpStatus.TOO_MANY_REQUESTS || response.status == HttpStatus.UNAVAILABLE
 
-    private fun <T> outcome(reply: HttpResponse?, read: (ByteArray) -> T): Outcome<T> = when {
-        reply == null -> Outcome.Unknown
+    private fun <T> outcome(response: HttpResponse?, decode: (ByteArray) -> T): Outcome<T> = when {
+        response == null -> Outcome.Unknown
 
-        reply.status == HttpStatus.OK -> try {
-            Outcome.Ok(read(reply.body))
+        response.status == HttpStatus.OK -> try {
+            Outcome.Ok(decode(response.body))
         } catch (e: MalformedException) {
-            log.warn("an answer of the state service cannot be read: {}", e.message)
+            log.warn("a response of the state service cannot be read: {}", e.message)
             Outcome.Unknown
         }
 
-        isRefusal(reply) -> Outcome.Refused
+        isRefusal(response) -> Outcome.Refused
 
-        // Only these two say that something is not there: no other refusal may be told to a user as a missing job.
-        reply.status == HttpStatus.NOT_FOUND || reply.status == HttpStatus.GONE -> Outcome.Gone
+        // Only 404 and 410 mean that the item does not exist. No other status may be reported to a user as a missing
+        // job.
+        response.status == HttpStatus.NOT_FOUND || response.status == HttpStatus.GONE -> Outcome.Gone
 
         else -> Outcome.Unknown
     }
 
     private companion object {
-        const val PAGE = 500
-        val LIMIT = 2.seconds
-        val RENEW_LIMIT = 1.seconds
+        const val PAGE_SIZE = 500
+        val TIMEOUT = 2.seconds
+        val RENEWAL_TIMEOUT = 1.seconds
 
-        const val SHARE_ALONE = 0.95
-        const val SHARE_AMONG_OTHERS = 0.6
+        const val SINGLE_NODE_SHARE = 0.95
+        const val MULTI_NODE_SHARE = 0.6
 
-        fun share(nodes: Int) = if (nodes <= 1) SHARE_ALONE else SHARE_AMONG_OTHERS
+        fun nodeShare(nodes: Int) = if (nodes <= 1) SINGLE_NODE_SHARE else MULTI_NODE_SHARE
     }
 }
--- a/src/main/kotlin/topazvale/state/StateService.kt
+++ b/src/main/kotlin/topazvale/state/StateService.kt
@@ -7,85 +7,91 @@
 import topazvale.wire.Page
 import kotlin.time.Duration
 
-/** What became of a call whose answer is not the one hoped for. */
+/** The result of a call to the state service. */
 sealed interface Outcome<out T> {
-    /** The value asked for. */
+    /** The requested value. */
     data class Ok<T>(val value: T) : Outcome<T>
 
-    /** Without a value. */
+    /** A result without a value. */
     sealed interface Failure : Outcome<Nothing>
 
-    /** What was asked for is not there: a missing key or lease, a history too short. */
+    /** The requested key or lease does not exist, or the history no longer reaches back to the requested revision. */
     data object Gone : Failure
 
-    /** Refused and certainly not carried out: an outage, or too many calls. */
+    /** Rejected and certainly not carried out: an outage, or too many calls. */
     data object Refused : Failure
 
-    /** No word: it may have been carried out, or still be. */
+    /** No response: the call may have been carried out, or may still be. */
     data object Unknown : Failure
 }
 
-/** What became of a transaction. */
+/** The result of a transaction. */
 sealed interface Commit {
-    /** Carried out, at this revision. */
+    /** Carried out at this revision. */
     data class Done(val revision: Long) : Commit
 
-    /** Not carried out, as these keys have other versions than the conditions ask for. */
+    /** Not carried out, because these keys do not have the versions that the conditions require. */
     data class Failed(val keys: List<String>) : Commit
 
-    /** Not carried out, as a lease that it names has ended. */
+    /** Not carried out, because a lease that the transaction names has ended. */
     data object LeaseGone : Commit
 
-    /** The transaction itself is not accepted, as too large for instance: to send it as it is once more is no use. */
+    /** The transaction itself is invalid, for instance too large: sending it again unchanged cannot succeed. */
     data object Invalid : Commit
 
+    /** Rejected and certainly not carried out, as [Outcome.Refused]. */
     data object Refused : Commit
 
+    /** No response: the transaction may have been carried out, or may still be. */
     data object Unknown : Commit
 }
 
-/** The small consistent store that is the controllers' only memory. */
+/** The small, consistent key-value store that holds the only persistent state of the controllers. */
 interface StateService {
-    /** Time since the service last gave this node a useful answer. */
+    /** The time since this node last received a response other than a refusal from the service. */
     val timeSinceLastResponse: Duration
 
-    /** The entry of a key. */
+    /** Reads the entry of a key. */
     suspend fun get(key: String): Outcome<Entry>
 
-    /** A page of the entries below a prefix, after a key. */
+    /** Reads a page of the entries whose keys have the [prefix] and come after the key [after]. */
     suspend fun list(prefix: String, after: String? = null): Outcome<Page>
 
     /**
-     * Carries out all changes if all conditions hold. What is [urgent] waits for its turn; the rest is refused instead.
+     * Applies all changes atomically if all conditions hold (compare-and-set). If the rate limit is reached, an
+     * [urgent] transaction waits for its tokens and any other is refused.
      */
     suspend fun commit(conditions: List<Condition>, changes: List<Change>, urgent: Boolean = false): Commit
 
-    /** A new lease. */
+    /** Grants a lease with the time to live [ttl]. */
     suspend fun grant(ttl: Duration): Outcome<Long>
 
-    /** Gives the lease its full time again. */
+    /** Extends the lease to its full time to live. */
     suspend fun renew(lease: Long): Outcome<Unit>
 
-    /** The changes below a prefix after a revision, as soon as there are any, or none after the wait. */
+    /**
+     * Returns the changes of keys with the [prefix] after the revision [since] as soon as there are any, or none after
+     * the time [wait].
+     */
     suspend fun watch(prefix: String, since: Long, wait: Duration): Outcome<Events>
 }
 
-/** All entries below a prefix, as of some moment at or after [revision]: a watch from there misses nothing. */
+/** All entries with a key prefix, each as of [revision] or later: a watch from [revision] misses no change. */
 class Listing(val entries: List<Entry>, val revision: Long)
 
-/** All entries below a prefix, page by page, with the revision of the first page. */
+/** Reads all entries whose keys have the [prefix], page by page. The revision is that of the first page. */
 suspend fun StateService.listAll(prefix: String): Outcome<Listing> {
     val entries = ArrayList<Entry>()
     var revision: Long? = null
-    var after: String? = null
+    var lastKey: String? = null
     while (true) {
-        val page = when (val listed = list(prefix, after)) {
+        val page = when (val listed = list(prefix, lastKey)) {
             is Outcome.Ok -> listed.value
             is Outcome.Failure -> return listed
         }
         entries += page.entries
         if (revision == null) revision = page.revision
         if (!page.hasMore || page.entries.isEmpty()) return Outcome.Ok(Listing(entries, revision))
-        after = page.entries.last().key
+        lastKey = page.entries.last().key
     }
 }
--- a/src/main/kotlin/topazvale/store/RecordWriter.kt
+++ b/src/main/kotlin/topazvale/store/RecordWriter.kt
@@ -9,196 +9,210 @@
 import topazvale.wire.Condition
 import kotlin.time.Duration.Companion.milliseconds
 
-/** Another leader has taken over: nothing this one still wants to write will count. */
+/** Another leader has taken over: the state service rejects every further write of this one. */
 class DeposedException : Exception("the leader key has changed")
 
-/** What a key is to hold, worked out when it is written; null: it is to go. */
-typealias Content = () -> Map<String, Any?>?
+/** Computes the content of a key when the key is written; null deletes the key. */
+typealias ContentSupplier = () -> Map<String, Any?>?
 
 /**
- * Writes the leader's records to the state service, so that they become what its memory has.
+ * Writes the leader's records to the state service, so that the stored records follow the leader's memory.
  *
- * Each transaction depends on the leader key ([fence]), so that a former leader's late ones fail, and on the version of
- * every key it touches, so that this leader's own late ones, given up and then overtaken, fail too. After a transaction
- * of unknown outcome the versions are read again and the wanted values written again.
+ * Each transaction is a compare-and-set on the leader key and on every key it changes. The version of the leader key
+ * ([fence]) is a fencing token: it makes delayed transactions of a former leader fail. The versions of the changed keys
+ * (optimistic concurrency) make this leader's own delayed transactions fail, which it abandoned and then overtook with
+ * newer ones. After a transaction with an unknown outcome, the writer reads the versions again and writes the current
+ * content again.
  *
- * What something waits for is [put] and written at once; the rest is put [putDeferred] and written as spare changes
- * allow, and what is only looked at ([putBackground]) when there is nothing else. Of a key that changes often only its
- * state at the time of writing is written.
+ * Urgent writes ([put]) are those that another action waits for; they are made at once. Deferred writes
+ * ([putDeferred]) are made as the rate limit on changes allows. Background writes ([putBackground]), whose values are
+ * only displayed, are made when no other write is pending. A key that changes often is written only with its content
+ * at the time of writing.
  *
- * [flush], [flushDeferred] and [finalizeJob] are called by the write loop alone, one at a time.
+ * Only the write loop calls [flush], [flushDeferred] and [finalizeJob], one at a time.
  */
-@Suppress("TooManyFunctions") // Few lines each; what can stand alone is in WriteQueue and TransactionLimits.
+@Suppress("TooManyFunctions") // They are short; WriteQueue and TransactionLimits hold what is separable.
 class RecordWriter(private val state: StateService, private val fence: Condition, opsLimit: Int) {
-    private class Cell(var version: Long, var ticket: Long, var content: Content?)
+    /** The stored version of a key, the ticket of its latest content, and that content while its write is pending. */
+    private class KeyState(var version: Long, var ticket: Long, var content: ContentSupplier?)
 
-    private class Sent(val change: Change, val cell: Cell) {
-        val ticket = cell.ticket
+    /** A change that has been sent, with the ticket that its key had at that time. */
+    private class SentChange(val change: Change, val keyState: KeyState) {
+        val ticket = keyState.ticket
     }
 
     private val log = LoggerFactory.getLogger(RecordWriter::class.java)
-    private val cells = HashMap<String, Cell>()
+    private val keyStates = HashMap<String, KeyState>()
     private val queue = WriteQueue()
     private val limits = TransactionLimits(opsLimit)
 
-    /** The token of the term in which it writes. */
+    /** The fencing token of the term in which this writer writes. */
     val term: Long get() = fence.version
 
-    /** Whether something waits to be written at once. */
+    /** Whether an urgent write is pending. */
     val hasUrgentWrites: Boolean get() = queue.urgentKeys.isNotEmpty()
 
-    /** Whether what was put with this ticket is in the state service. */
-    fun isDurable(ticket: Long): Boolean = queue.isSettled(ticket)
+    /** Whether the write with this ticket is in the state service. */
+    fun isDurable(ticket: Long): Boolean = queue.isDurable(ticket)
 
-    /** The key is in the state service with this version. */
+    /** Loads the version with which the key is stored in the state service. */
     fun loadVersion(key: String, version: Long) {
-        cells[key] = Cell(version, 0, null)
+        keyStates[key] = KeyState(version, 0, null)
     }
 
-    /** To be written at once; the ticket tells by [isDurable] when it has been. */
-    fun put(key: String, content: Content): Long {
-        val ticket = want(key, content)
+    /** Requests an urgent write and returns its ticket for [isDurable]. */
+    fun put(key: String, content: ContentSupplier): Long {
+        val ticket = updateContent(key, content)
         queue.addUrgent(key, ticket)
         return ticket
     }
 
-    /** To be written when there is time for it. */
-    fun putDeferred(key: String, content: Content) {
-        want(key, content)
-        queue.addSpare(key)
+    /** Requests a deferred write, which is made as capacity allows. */
+    fun putDeferred(key: String, content: ContentSupplier) {
+        updateContent(key, content)
+        queue.addDeferred(key)
     }
 
-    /** To be written when nothing else is left to write: for what is only looked at. */
-    fun putBackground(key: String, content: Content) {
-        want(key, content)
-        queue.addIdle(key)
+    /**
+     * Requests a background write, which is made when no other write is pending: for values that are only displayed.
+     */
+    fun putBackground(key: String, content: ContentSupplier) {
+        updateContent(key, content)
+        queue.addBackground(key)
     }
 
-    /** Removes a key when there is time for it; one that was never written costs nothing. */
+    /** Requests the deferred deletion of a key. A key that was never written needs no transaction. */
     fun delete(key: String) {
-        if (key in cells) putDeferred(key) { null }
+        if (key in keyStates) putDeferred(key) { null }
     }
 
-    /** Writes until nothing urgent is left to write. */
+    /** Writes until no urgent write is pending. */
     suspend fun flush() {
-        while (hasUrgentWrites) write(queue.urgentKeys)
-        queue.settle()
+        while (hasUrgentWrites) writeBatch(queue.urgentKeys)
+        queue.updateDurable()
     }
 
-    /** Writes one transaction of what can wait. */
+    /** Writes one transaction of deferred writes, or of background writes if none is deferred. */
     suspend fun flushDeferred() {
-        val keys = queue.spareKeys
-        if (keys.isNotEmpty()) write(keys)
+        val keys = queue.deferredKeys
+        if (keys.isNotEmpty()) writeBatch(keys)
     }
 
-    /** Commits the end of a job together with the removal of [keys]; fails where a condition beyond the fence does. */
+    /**
+     * Commits the end of a job together with the deletion of [keys]. The commit fails if one of the [conditions] does
+     * not hold, which are checked in addition to the fence.
+     */
     suspend fun finalizeJob(conditions: List<Condition>, changes: List<Change>, keys: List<String>): Commit {
-        val stored = keys.filter { (cells[it]?.version ?: 0) > 0 }
-        val removed = stored.take((limits.mostChanges - changes.size).coerceAtLeast(0))
-        val rest = stored.drop(removed.size)
-        val deletions = removed.map { Change.Delete(it) }
-        val unchanged = removed.map { Condition(it, cells.getValue(it).version) }
-        val commit = state.commit(conditions + fence + unchanged, changes + deletions, urgent = true)
+        val storedKeys = keys.filter { (keyStates[it]?.version ?: 0) > 0 }
+        val deletedKeys = storedKeys.take((limits.maxChanges - changes.size).coerceAtLeast(0))
+        val remainingKeys = storedKeys.drop(deletedKeys.size)
+        val deletions = deletedKeys.map { Change.Delete(it) }
+        val expectedVersions = deletedKeys.map { Condition(it, keyStates.getValue(it).version) }
+        val commit = state.commit(conditions + fence + expectedVersions, changes + deletions, urgent = true)
         when (commit) {
             is Commit.Done -> {
-                (keys - rest.toSet()).forEach(::forget)
-                // A large job's keys are more than one transaction takes. Those that stay say nothing of any job.
-                rest.forEach(::delete)
+                (keys - remainingKeys.toSet()).forEach(::forget)
+                // A large job has more keys than one transaction may change. The remaining keys are deleted later;
+                // until then they have no meaning, as their job has ended.
+                remainingKeys.forEach(::delete)
             }
 
-            is Commit.Invalid -> narrow(changes + deletions)
+            is Commit.Invalid -> shrinkOrQuarantine(changes + deletions)
 
-            is Commit.Failed -> failed(commit)
+            is Commit.Failed -> resolveConflict(commit)
 
-            else -> removed.forEach { reread(it) }
+            else -> deletedKeys.forEach { refreshVersion(it) }
         }
-        queue.settle()
+        queue.updateDurable()
         return commit
     }
 
-    private fun want(key: String, content: Content): Long {
-        val cell = cells.getOrPut(key) { Cell(0, 0, null) }
-        cell.content = content
-        cell.ticket = queue.issueTicket()
-        return cell.ticket
+    private fun updateContent(key: String, content: ContentSupplier): Long {
+        val keyState = keyStates.getOrPut(key) { KeyState(0, 0, null) }
+        keyState.content = content
+        keyState.ticket = queue.issueTicket()
+        return keyState.ticket
     }
 
     private fun forget(key: String) {
-        cells.remove(key)
+        keyStates.remove(key)
         queue.remove(key)
     }
 
-    private suspend fun write(keys: Collection<String>) {
-        val batch = limits.batch(keys, ::change)
-        val sent = batch.map { Sent(it, cells.getValue(it.key)) }
-        val conditions = sent.map { Condition(it.change.key, it.cell.version) } + fence
+    private suspend fun writeBatch(keys: Collection<String>) {
+        val batch = limits.batch(keys, ::currentChange)
+        val sentChanges = batch.map { SentChange(it, keyStates.getValue(it.key)) }
+        val conditions = sentChanges.map { Condition(it.change.key, it.keyState.version) } + fence
         when (val commit = state.commit(conditions, batch, urgent = true)) {
-            is Commit.Done -> sent.forEach { written(it, commit.revision) }
-            is Commit.Failed -> failed(commit)
-            is Commit.Unknown -> for (change in batch) reread(change.key)
-            is Commit.Invalid -> narrow(batch)
-            is Commit.Refused, is Commit.LeaseGone -> delay(RETRY)
+            is Commit.Done -> sentChanges.forEach { recordWritten(it, commit.revision) }
+            is Commit.Failed -> resolveConflict(commit)
+            is Commit.Unknown -> for (change in batch) refreshVersion(change.key)
+            is Commit.Invalid -> shrinkOrQuarantine(batch)
+            is Commit.Refused, is Commit.LeaseGone -> delay(RETRY_DELAY)
         }
-        queue.settle()
+        queue.updateDurable()
     }
 
-    private fun change(key: String): Change {
-        val data = cells.getValue(key).content?.invoke()
+    private fun currentChange(key: String): Change {
+        val data = keyStates.getValue(key).content?.invoke()
         return if (data == null) Change.Delete(key) else Change.Put(key, data)
     }
 
-    private fun written(sent: Sent, revision: Long) {
-        val key = sent.change.key
-        val cell = sent.cell
-        cell.version = if (sent.change is Change.Delete) 0 else revision
-        if (cell.ticket != sent.ticket) return queue.writtenUpTo(key, cell.ticket)
+    private fun recordWritten(sentChange: SentChange, revision: Long) {
+        val key = sentChange.change.key
+        val keyState = sentChange.keyState
+        keyState.version = if (sentChange.change is Change.Delete) 0 else revision
+        if (keyState.ticket != sentChange.ticket) return queue.recordOlderWrite(key, keyState.ticket)
         queue.remove(key)
-        cell.content = null
-        if (cell.version == 0L) cells.remove(key)
+        keyState.content = null
+        if (keyState.version == 0L) keyStates.remove(key)
     }
 
-    private suspend fun failed(commit: Commit.Failed) {
+    private suspend fun resolveConflict(commit: Commit.Failed) {
         if (fence.key in commit.keys) throw DeposedException()
-        for (key in commit.keys) reread(key)
+        for (key in commit.keys) refreshVersion(key)
     }
 
-    /** The same transaction would be refused for ever, and what waits behind it with it. */
-    private fun narrow(batch: List<Change>) {
+    /**
+     * Lowers the transaction limits, or quarantines the value if the transaction has only one change. The state service
+     * would reject the same transaction forever, which would also block the writes behind it.
+     */
+    private fun shrinkOrQuarantine(batch: List<Change>) {
         if (batch.size > 1) {
-            limits.narrow(batch.size)
+            limits.lower(batch.size)
             log.warn(
-                "a transaction of {} changes is refused as invalid; now at most {}",
+                "the state service rejects a transaction of {} changes as invalid; the limit is now {} changes",
                 batch.size,
-                limits.mostChanges,
+                limits.maxChanges,
             )
             return
         }
-        // A single value that is not taken holds up only what waits for it. It is written again when it changes, not as
-        // it is: without that it would be sent for ever, and nothing behind it would ever count as written.
+        // A quarantined value delays only what waits for it. It is not sent again until it changes: otherwise it would
+        // be sent forever, and no write behind it would ever count as durable.
         val key = batch.single().key
-        log.error("the state service does not take the value of {}", key)
-        queue.setAside(key)
+        log.error("the state service rejects the value of {}; it is written again only after it has changed", key)
+        queue.quarantine(key)
     }
 
-    /** Learns the version of a key after a transaction that failed or whose outcome is unknown. */
-    private suspend fun reread(key: String) {
-        val cell = cells[key] ?: return
-        var version = storedVersion(key)
+    /** Reads the stored version of a key after a transaction that failed or whose outcome is unknown. */
+    private suspend fun refreshVersion(key: String) {
+        val keyState = keyStates[key] ?: return
+        var version = readVersion(key)
         while (version == null) {
-            delay(RETRY)
-            version = storedVersion(key)
+            delay(RETRY_DELAY)
+            version = readVersion(key)
         }
-        cell.version = version
+        keyState.version = version
     }
 
-    /** 0 for a key that does not exist; null without an answer. */
-    private suspend fun storedVersion(key: String): Long? = when (val found = state.get(key)) {
-        is Outcome.Ok -> found.value.version
+    /** Returns 0 for a key that does not exist, and null if there is no usable response. */
+    private suspend fun readVersion(key: String): Long? = when (val outcome = state.get(key)) {
+        is Outcome.Ok -> outcome.value.version
         is Outcome.Gone -> 0
         is Outcome.Refused, is Outcome.Unknown -> null
     }
 
     private companion object {
-        val RETRY = 150.milliseconds
+        val RETRY_DELAY = 150.milliseconds
     }
 }
--- a/src/main/kotlin/topazvale/store/Records.kt
+++ b/src/main/kotlin/topazvale/store/Records.kt
@@ -11,10 +11,10 @@
 import kotlin.time.Instant
 
 /**
- * Where things stand in the state service.
+ * The keys of the records in the state service.
  *
- * A job lives under [job] until it is over, and under [final] for ever after. The move is one transaction, so that a
- * reader who looks first at the one and then at the other always finds it.
+ * A job is stored under [job] until it has finished, and under [final] from then on. One transaction moves it, so that
+ * a reader which looks first under [job] and then under [final] always finds it.
  */
 object Keys {
     const val LEADER = "leader"
@@ -24,40 +24,40 @@
     const val CHUNKS = "c/"
     const val TASK_COUNTS = "p/"
 
-    /** A job until it is over. */
+    /** The key of a job that has not finished. */
     fun job(id: String) = JOBS + id
 
-    /** The final state of a job. */
+    /** The key of the final state of a finished job. */
     fun final(id: String) = "f/$id"
 
-    /** Which tasks of a job are done, a chunk of [CHUNK_TASKS] a key: a large job is never rewritten whole. */
+    /** The key that holds which of [CHUNK_TASKS] tasks are done. Chunks avoid rewriting a large job as a whole. */
     fun chunk(id: String, chunk: Int) = "$CHUNKS$id/$chunk"
 
-    /** Task counts for polls. */
+    /** The key of the task counts that polls return. */
     fun taskCounts(id: String) = TASK_COUNTS + id
 
-    /** Machines rented together. */
+    /** The key of a group of machines that were rented together. */
     fun group(name: String) = GROUPS + name
 
-    /** Starts recorded together. */
+    /** The key of a batch of starts that were recorded together. */
     fun starts(name: String) = STARTS + name
 
     const val CHUNK_TASKS = 8192
 }
 
-/** Who leads. [life] tells one life of a process from the next. */
-data class LeaderRecord(val member: String, val life: String) {
-    /** As stored. */
-    fun encode(): Map<String, Any?> = mapOf("member" to member, "life" to life)
+/** The current leader. The [incarnation] distinguishes a process from the next process of the same member. */
+data class LeaderRecord(val member: String, val incarnation: String) {
+    /** Encodes the record as it is stored. */
+    fun encode(): Map<String, Any?> = mapOf("member" to member, "life" to incarnation)
 
     companion object {
         fun decode(data: Map<String, Any?>) = LeaderRecord(data["member"] as String, data["life"] as String)
     }
 }
 
-/** Jobs and their final states as stored. */
+/** The stored form of jobs and of their final states. */
 object JobRecords {
-    /** As stored, whatever the values are called in the code. */
+    /** The stored names of the statuses, which are independent of the names in the code. */
     private val statusNames = mapOf(
         JobStatus.LIVE to "LIVE",
         JobStatus.DONE to "DONE",
@@ -65,26 +65,31 @@
     )
     private val statuses = statusNames.entries.associate { (status, name) -> name to status }
 
-    /** As stored. */
-    fun encode(r: JobRecord): Map<String, Any?> = mapOf(
-        "job" to JobWire.encodeSpec(r.spec),
-        "at" to r.submitted.toEpochMilliseconds(),
-        "status" to statusNames.getValue(r.status),
+    /** Encodes a job as it is stored. */
+    fun encode(record: JobRecord): Map<String, Any?> = mapOf(
+        "job" to JobWire.encodeSpec(record.spec),
+        "at" to record.submitted.toEpochMilliseconds(),
+        "status" to statusNames.getValue(record.status),
     )
 
     /**
-     * A cancelled job, of which only what its tasks still take is of use. One that was accepted when values could be
-     * larger must not fail to be cancelled for it: what is long is then left out.
+     * Encodes a job as cancelled. Only the resources that its tasks still occupy matter from then on. A job that was
+     * accepted when the limit on values was higher must remain cancellable, so its long fields are omitted if the
+     * record exceeds [valueBytes].
      */
-    fun encodeCancelled(r: JobRecord, valueBytes: Int): Map<String, Any?> {
-        val whole = encode(r.copy(status = JobStatus.CANCELLED))
-        if (Records.size(whole) <= valueBytes) return whole
+    fun encodeCancelled(record: JobRecord, valueBytes: Int): Map<String, Any?> {
+        val complete = encode(record.copy(status = JobStatus.CANCELLED))
+        if (Records.size(complete) <= valueBytes) return complete
         return encode(
-            JobRecord(r.spec.copy(queue = "", image = "", types = null, zone = null), r.submitted, JobStatus.CANCELLED),
+            JobRecord(
+                record.spec.copy(queue = "", image = "", types = null, zone = null),
+                record.submitted,
+                JobStatus.CANCELLED,
+            ),
         )
     }
 
-    /** As read; throws for what cannot be read. */
+    /** Decodes a stored job; throws for data of any other form. */
     @Suppress("UNCHECKED_CAST")
     fun decode(data: Map<String, Any?>) = JobRecord(
         spec = JobWire.decodeSpec(data["job"] as Map<String, Any?>),
@@ -92,19 +97,19 @@
         status = status(data),
     )
 
-    /** As stored under the final key. */
+    /** Encodes a final state as it is stored. */
     fun encodeFinal(status: JobStatus): Map<String, Any?> = mapOf("status" to statusNames.getValue(status))
 
-    /** As read under the final key; throws for what cannot be read. */
+    /** Decodes a stored final state; throws for data of any other form. */
     fun decodeFinal(data: Map<String, Any?>) = status(data)
 
     private fun status(data: Map<String, Any?>): JobStatus =
-        requireNotNull(statuses[data["status"]]) { "unknown status of a job" }
+        requireNotNull(statuses[data["status"]]) { "unknown job status" }
 }
 
-/** Task counts for display. */
+/** Task counts of a job, for display only. */
 data class TaskCountRecord(val done: Int, val running: Int) {
-    /** As stored. */
+    /** Encodes the record as it is stored. */
     fun encode(): Map<String, Any?> = mapOf("done" to done, "running" to running)
 
     companion object {
@@ -113,44 +118,47 @@
     }
 }
 
-/** Which tasks of a job are done, a bit each. */
+/** Which tasks of a job are done, one bit per task. */
 object ChunkRecords {
-    /** As stored. */
+    /** Encodes one chunk of [done] as it is stored. */
     fun encode(done: BitSet, chunk: Int): Map<String, Any?> {
-        val from = chunk * Keys.CHUNK_TASKS
-        val bits = done.get(from, from + Keys.CHUNK_TASKS)
+        val firstTask = chunk * Keys.CHUNK_TASKS
+        val bits = done.get(firstTask, firstTask + Keys.CHUNK_TASKS)
         return mapOf("done" to Base64.getEncoder().encodeToString(bits.toByteArray()))
     }
 
-    /** Marks in [done] what the chunk holds. */
+    /** Sets in [done] the bits of the tasks that the stored chunk marks as done. */
     fun decodeInto(data: Map<String, Any?>, chunk: Int, done: BitSet) {
         val bits = BitSet.valueOf(Base64.getDecoder().decode(data["done"] as String))
         bits.stream().forEach { done.set(chunk * Keys.CHUNK_TASKS + it) }
     }
 }
 
-/** Starts on one machine that were put on record together: written before their commands leave. */
+/** Starts on one machine that were recorded together, before their commands were sent. */
 data class StartRow(val host: String, val session: Long, val job: String, val attempt: Long, val tasks: List<Int>) {
-    /** About what the row takes in text form. */
+    /** The approximate size of the row in text form. */
     val estimatedBytes: Int get() = ROW_BYTES + host.length + job.length + tasks.size * TASK_BYTES
 
     companion object {
         private const val ROW_BYTES = 56
         private const val TASK_BYTES = 7
 
-        /** How many tasks of a job a row on the host may name to stay within [bytes]. */
+        /** The number of tasks of a job that a row for the host may name within [bytes]; at least one. */
         fun maxTasks(host: String, job: String, bytes: Int) =
             ((bytes - ROW_BYTES - host.length - job.length) / TASK_BYTES).coerceAtLeast(1)
     }
 }
 
-/** The starts of one plan, however many machines they go to, are one value: changes are what there is least of. */
+/**
+ * The starts of one plan are stored as one value, however many machines they go to, because the rate limit on changes
+ * is the scarcest resource.
+ */
 object StartRecords {
-    /** As stored. */
+    /** Encodes starts as they are stored. */
     fun encode(rows: List<StartRow>): Map<String, Any?> =
         mapOf("starts" to rows.map { listOf(it.host, it.session, it.job, it.attempt, it.tasks) })
 
-    /** As read; throws for what cannot be read. */
+    /** Decodes stored starts; throws for data of any other form. */
     fun decode(data: Map<String, Any?>): List<StartRow> = (data["starts"] as List<*>).map { row ->
         val fields = (row as List<*>).iterator()
         StartRow(
@@ -163,9 +171,12 @@
     }
 }
 
-/** Machines that were rented together, with what their caches should hold, so that the next leader places as well. */
+/**
+ * Machines that were rented together, with the images that their caches should hold, so that the next leader places
+ * tasks equally well.
+ */
 data class MachineGroupRecord(val market: Market, val rented: Instant, val images: Map<String, List<String>>) {
-    /** As stored. */
+    /** Encodes the record as it is stored. */
     fun encode(): Map<String, Any?> = mapOf(
         "type" to market.type,
         "zone" to market.zone,
@@ -185,11 +196,14 @@
     }
 }
 
-/** What is common to all records. */
+/** Functions for records of all kinds. */
 object Records {
     private val log = LoggerFactory.getLogger(Records::class.java)
 
-    /** The state service's limits count the text form, in which characters outside plain ASCII may be escaped. */
+    /**
+     * The size of a value in text form, which the limits of the state service refer to. Characters outside printable
+     * ASCII are counted as escaped, because that form may escape them.
+     */
     fun size(value: Any?): Int = when (value) {
         is String -> value.sumOf(::size) + QUOTES_AND_COMMA
         is Map<*, *> -> value.entries.sumOf { (key, field) -> size(key) + 1 + size(field) } + BRACKETS
@@ -204,21 +218,22 @@
     }
 
     /**
-     * What [decode] makes of the record under [key], or null for a record that cannot be read: of a later version, or
-     * damaged. It is named in the log and says nothing, neither that something is there nor that it is not.
+     * Decodes the record under [key] with [decode]. Returns null for a record that a later version has written or that
+     * is damaged, and logs its key. Such a record is no evidence that what it describes exists, nor that it does not
+     * exist.
      */
     fun <T : Any> readOrNull(key: String, data: Map<String, Any?>, decode: (Map<String, Any?>) -> T): T? = try {
         decode(data)
     } catch (e: MalformedException) {
-        unreadable(key, e)
+        logUnreadable(key, e)
     } catch (
-        // A record of any other form fails in some cast, number or look-up.
+        // Data of any other form fails in a cast, a conversion of a number or a look-up.
         @Suppress("TooGenericExceptionCaught") e: RuntimeException,
     ) {
-        unreadable(key, e)
+        logUnreadable(key, e)
     }
 
-    private fun unreadable(key: String, cause: Exception): Nothing? {
+    private fun logUnreadable(key: String, cause: Exception): Nothing? {
         log.error("the record {} cannot be read: {}", key, cause.toString())
         return null
     }
--- a/src/main/kotlin/topazvale/store/TransactionLimits.kt
+++ b/src/main/kotlin/topazvale/store/TransactionLimits.kt
@@ -2,33 +2,35 @@
 
 import topazvale.wire.Change
 
-/** How much goes into one transaction; less once the state service has found one too large. */
-internal class TransactionLimits(private var changes: Int) {
-    private var bytes = INITIAL_BYTES
+/** Limits the size of a transaction, and lowers the limits when the state service rejects one as too large. */
+internal class TransactionLimits(private var changeLimit: Int) {
+    private var byteLimit = INITIAL_BYTE_LIMIT
 
-    val mostChanges: Int get() = changes
+    val maxChanges: Int get() = changeLimit
 
-    /** As many changes as one transaction takes, of [keys] in their order; at least one. */
+    /** Returns the changes of the first of the [keys], as many as fit into one transaction but at least one. */
     fun batch(keys: Collection<String>, change: (String) -> Change): List<Change> {
         val batch = ArrayList<Change>()
-        var size = 0
-        for (key in keys.take(changes)) {
+        var bytes = 0
+        for (key in keys.take(changeLimit)) {
             val next = change(key)
-            size += key.length + Records.size((next as? Change.Put)?.data)
-            if (batch.isNotEmpty() && size > bytes) return batch
+            bytes += key.length + Records.size((next as? Change.Put)?.data)
+            if (batch.isNotEmpty() && bytes > byteLimit) return batch
             batch += next
         }
         return batch
     }
 
-    /** A transaction of so many changes was refused as invalid. */
-    fun narrow(refused: Int) {
-        changes = refused / 2
-        bytes = maxOf(bytes / 2, LEAST_BYTES)
+    /**
+     * Lowers both limits after the state service has rejected a transaction of [rejectedChanges] changes as invalid.
+     */
+    fun lower(rejectedChanges: Int) {
+        changeLimit = rejectedChanges / 2
+        byteLimit = maxOf(byteLimit / 2, MIN_BYTE_LIMIT)
     }
 
     private companion object {
-        const val INITIAL_BYTES = 48 * 1024
-        const val LEAST_BYTES = 1024
+        const val INITIAL_BYTE_LIMIT = 48 * 1024
+        const val MIN_BYTE_LIMIT = 1024
     }
 }
--- a/src/main/kotlin/topazvale/store/WriteQueue.kt
+++ b/src/main/kotlin/topazvale/store/WriteQueue.kt
@@ -1,70 +1,75 @@
 package topazvale.store
 
-/** The keys that wait to be written, by how soon they have to be, and the tickets that tell what has been written. */
+/**
+ * The keys with a pending write, by priority: urgent, deferred, background. Each write has a ticket, which tells
+ * whether the write is durable.
+ */
 internal class WriteQueue {
-    /** Keys that something waits for, with the ticket from which on they have been waiting. */
+    /** Keys whose write another action waits for, each with the ticket since which it has been pending. */
     private val urgent = LinkedHashMap<String, Long>()
-    private val spare = LinkedHashSet<String>()
-    private val idle = LinkedHashSet<String>()
+    private val deferred = LinkedHashSet<String>()
+    private val background = LinkedHashSet<String>()
 
-    /** Keys whose values the state service does not take, with the ticket from which on they have been waiting. */
-    private val refused = HashMap<String, Long>()
-    private var issued = 0L
+    /** Keys whose values the state service rejects, each with the ticket since which it has been pending. */
+    private val quarantined = HashMap<String, Long>()
+    private var lastTicket = 0L
 
-    /** All that was put with tickets up to this one has been written, but for what is refused. */
-    private var settled = 0L
+    /** All writes with tickets up to this one are durable, except those of quarantined keys. */
+    private var durableUpTo = 0L
 
     val urgentKeys: Collection<String> get() = urgent.keys
 
-    /** What can wait; what is only looked at when there is nothing else. */
-    val spareKeys: Collection<String> get() = spare.ifEmpty { idle }
+    /** The keys of the deferred writes, or those of the background writes if no write is deferred. */
+    val deferredKeys: Collection<String> get() = deferred.ifEmpty { background }
 
-    /** A ticket larger than all before. */
-    fun issueTicket(): Long = ++issued
+    /** Returns a ticket greater than all earlier ones. */
+    fun issueTicket(): Long = ++lastTicket
 
-    /** Something waits for the key to be written. */
+    /** Adds a key whose write another action waits for. */
     fun addUrgent(key: String, ticket: Long) {
-        spare -= key
-        idle -= key
-        // A key that was refused has been waiting since then: its former tickets are not written yet.
-        urgent.putIfAbsent(key, refused.remove(key) ?: ticket)
+        deferred -= key
+        background -= key
+        // A quarantined key has been pending since its earlier ticket: the writes with its tickets are not durable yet.
+        urgent.putIfAbsent(key, quarantined.remove(key) ?: ticket)
     }
 
-    /** The key is to be written when there is time for it. */
-    fun addSpare(key: String) {
-        if (key !in urgent) spare += key
+    /** Adds a key that is written as capacity allows, unless it is urgent already. */
+    fun addDeferred(key: String) {
+        if (key !in urgent) deferred += key
     }
 
-    /** The key is to be written when nothing else is left. */
-    fun addIdle(key: String) {
-        if (key !in urgent) idle += key
+    /** Adds a key that is written once no other write is pending, unless it is urgent already. */
+    fun addBackground(key: String) {
+        if (key !in urgent) background += key
     }
 
-    /** The key has been written as wanted, or is not wanted any more. */
+    /** Removes a key whose latest content has been written, or which no longer needs to be written. */
     fun remove(key: String) {
         urgent.remove(key)
-        spare.remove(key)
-        idle.remove(key)
-        refused.remove(key)
+        deferred.remove(key)
+        background.remove(key)
+        quarantined.remove(key)
     }
 
-    /** The key has been written, and is to hold something else since [ticket]. */
-    fun writtenUpTo(key: String, ticket: Long) {
+    /**
+     * Records that the key has been written with older content, and that its latest content is pending since [ticket].
+     */
+    fun recordOlderWrite(key: String, ticket: Long) {
         if (key in urgent) urgent[key] = ticket
     }
 
-    /** The key's value is not taken: it waits apart until it changes. */
-    fun setAside(key: String) {
-        spare -= key
-        idle -= key
-        urgent.remove(key)?.let { refused[key] = it }
+    /** Takes a key whose value the state service rejects out of the queue until its content changes. */
+    fun quarantine(key: String) {
+        deferred -= key
+        background -= key
+        urgent.remove(key)?.let { quarantined[key] = it }
     }
 
-    /** Works out anew what [isSettled]; called after each write. */
-    fun settle() {
-        settled = urgent.values.minOrNull()?.minus(1) ?: issued
+    /** Updates which tickets are durable; called after each write. */
+    fun updateDurable() {
+        durableUpTo = urgent.values.minOrNull()?.minus(1) ?: lastTicket
     }
 
-    /** Whether what was put with this ticket has been written. */
-    fun isSettled(ticket: Long): Boolean = ticket <= settled && refused.values.none { it == ticket }
+    /** Whether the write with this ticket is in the state service. */
+    fun isDurable(ticket: Long): Boolean = ticket <= durableUpTo && quarantined.values.none { it == ticket }
 }
--- a/src/main/kotlin/topazvale/wire/Cbor.kt
+++ b/src/main/kotlin/topazvale/wire/Cbor.kt
@@ -7,32 +7,32 @@
 import java.io.ByteArrayOutputStream
 import java.io.IOException
 
-/** A body that is not what the protocol asks for; [message] is fit for the sender's eyes. */
+/** Thrown for a body that violates the protocol. The [message] may be shown to the sender of the body. */
 class MalformedException(message: String, cause: Throwable? = null) : Exception(message, cause)
 
-/** CBOR bodies as plain maps, lists, text, numbers and booleans. */
+/** Encodes and decodes CBOR bodies as plain maps, lists, strings, numbers and booleans. */
 object Cbor {
     private val factory = CBORFactory()
     private const val MAX_DEPTH = 32
 
-    /** Most bodies are smaller. */
-    private const val USUAL_BYTES = 256
+    /** Most bodies are smaller than this. */
+    private const val INITIAL_BUFFER_BYTES = 256
 
-    /** The bytes of maps, lists, text, numbers, booleans and null. */
+    /** Encodes a value that consists of maps, lists, strings, numbers, booleans and null. */
     fun encode(value: Any?): ByteArray {
-        val out = ByteArrayOutputStream(USUAL_BYTES)
+        val out = ByteArrayOutputStream(INITIAL_BUFFER_BYTES)
         factory.createGenerator(out).use { write(it, value) }
         return out.toByteArray()
     }
 
-    /** A body whose only value is a map; throws for any other. */
+    /** Decodes a body whose only value is a map; throws [MalformedException] for any other. */
     fun decodeMap(bytes: ByteArray): Map<String, Any?> {
         val value = try {
             factory.createParser(bytes).use { parser ->
                 parser.nextToken()
-                val top = read(parser, 0)
+                val root = read(parser, 0)
                 if (parser.nextToken() != null) malformed("more than one value")
-                top
+                root
             }
         } catch (e: IOException) {
             malformed("not CBOR", e)
@@ -41,33 +41,33 @@
         return value as? Map<String, Any?> ?: malformed("not a map")
     }
 
-    private fun write(g: JsonGenerator, value: Any?) {
+    private fun write(generator: JsonGenerator, value: Any?) {
         when (value) {
-            null -> g.writeNull()
+            null -> generator.writeNull()
 
-            is String -> g.writeString(value)
+            is String -> generator.writeString(value)
 
-            is Boolean -> g.writeBoolean(value)
+            is Boolean -> generator.writeBoolean(value)
 
-            is Int -> g.writeNumber(value)
+            is Int -> generator.writeNumber(value)
 
-            is Long -> g.writeNumber(value)
+            is Long -> generator.writeNumber(value)
 
-            is Double -> g.writeNumber(value)
+            is Double -> generator.writeNumber(value)
 
             is Map<*, *> -> {
-                g.writeStartObject(value, value.size)
-                for ((k, v) in value) {
-                    g.writeFieldName(k as String)
-                    write(g, v)
+                generator.writeStartObject(value, value.size)
+                for ((key, element) in value) {
+                    generator.writeFieldName(key as String)
+                    write(generator, element)
                 }
-                g.writeEndObject()
+                generator.writeEndObject()
             }
 
             is List<*> -> {
-                g.writeStartArray(value, value.size)
-                for (v in value) write(g, v)
-                g.writeEndArray()
+                generator.writeStartArray(value, value.size)
+                for (element in value) write(generator, element)
+                generator.writeEndArray()
             }
 
             else -> error("no CBOR form for ${value::class}")
--- a/src/main/kotlin/topazvale/wire/CloudWire.kt
+++ b/src/main/kotlin/topazvale/wire/CloudWire.kt
@@ -7,9 +7,9 @@
 import topazvale.model.Resources
 
 /** A page of the machine list. */
-data class MachinePage(val machines: List<ListedMachine>, val more: Boolean)
+data class MachinePage(val machines: List<ListedMachine>, val hasMore: Boolean)
 
-/** The cloud's machine types, rentals and lists. */
+/** Bodies of the cloud's API: machine types, rentals and machine lists. */
 object CloudWire {
     private val statuses = mapOf(
         "starting" to CloudStatus.STARTING,
@@ -17,22 +17,27 @@
         "failed" to CloudStatus.FAILED,
     )
 
-    /** The answer to a question for machine types. */
-    fun types(body: ByteArray): List<MachineType> = Fields(Cbor.decodeMap(body)).maps("flavors").map { f ->
-        MachineType(
-            name = f.text("sku"),
-            capacity = Resources(f.amount("cores"), f.amount("gpus"), f.amount("memoryGb")),
-            cacheGb = f.amount("cacheGb"),
-            fetchGbPerS = f.amount("fetchGbPerS"),
-            price = f.amount("hourly"),
-            spotPrice = f.amount("marketPrice"),
-            bootTime = f.span("readyS"),
-            zones = f.textsOrNull("halls").orEmpty(),
-        )
-    }
+    /** Decodes the response to a request for the machine types. */
+    fun decodeMachineTypes(body: ByteArray): List<MachineType> =
+        Fields(Cbor.decodeMap(body)).maps("flavors").map { typeFields ->
+            MachineType(
+                name = typeFields.string("sku"),
+                capacity = Resources(
+                    typeFields.nonNegativeNumber("cores"),
+                    typeFields.nonNegativeNumber("gpus"),
+                    typeFields.nonNegativeNumber("memoryGb"),
+                ),
+                cacheGb = typeFields.nonNegativeNumber("cacheGb"),
+                fetchGbPerS = typeFields.nonNegativeNumber("fetchGbPerS"),
+                price = typeFields.nonNegativeNumber("hourly"),
+                spotPrice = typeFields.nonNegativeNumber("marketPrice"),
+                bootTime = typeFields.duration("readyS"),
+                zones = typeFields.stringsOrNull("halls").orEmpty(),
+            )
+        }
 
-    /** A rental request. */
-    fun rental(name: String, market: Market, count: Int): ByteArray = Cbor.encode(
+    /** Encodes a rental request. */
+    fun encodeRental(name: String, market: Market, count: Int): ByteArray = Cbor.encode(
         mapOf(
             "booking" to name,
             "flavor" to market.type,
@@ -42,24 +47,28 @@
         ),
     )
 
-    /** The machines that a rental request got. */
-    fun rented(body: ByteArray): List<String> = Fields(Cbor.decodeMap(body)).textsOrNull("hosts").orEmpty()
+    /** Decodes the hosts of the machines that a rental request obtained. */
+    fun decodeRentedHosts(body: ByteArray): List<String> = Fields(Cbor.decodeMap(body)).stringsOrNull("hosts").orEmpty()
 
-    /** A request to return machines. */
-    fun release(hosts: List<String>): ByteArray = Cbor.encode(mapOf("hosts" to hosts))
+    /** Encodes a request to return machines. */
+    fun encodeReturn(hosts: List<String>): ByteArray = Cbor.encode(mapOf("hosts" to hosts))
 
-    /** A page of the machine list. */
-    fun page(body: ByteArray): MachinePage {
-        val top = Fields(Cbor.decodeMap(body))
-        val machines = top.maps("hosts").map { f ->
+    /** Decodes a page of the machine list. */
+    fun decodePage(body: ByteArray): MachinePage {
+        val fields = Fields(Cbor.decodeMap(body))
+        val machines = fields.maps("hosts").map { machineFields ->
             ListedMachine(
-                host = f.text("uid"),
-                endpoint = f.textOrNull("endpoint").orEmpty(),
-                market = Market(f.text("flavor"), f.text("hall"), f.flag("standby")),
-                status = statuses[f.text("status")] ?: CloudStatus.RUNNING,
-                age = f.span("heldS"),
+                host = machineFields.string("uid"),
+                endpoint = machineFields.stringOrNull("endpoint").orEmpty(),
+                market = Market(
+                    machineFields.string("flavor"),
+                    machineFields.string("hall"),
+                    machineFields.boolean("standby"),
+                ),
+                status = statuses[machineFields.string("status")] ?: CloudStatus.RUNNING,
+                age = machineFields.duration("heldS"),
             )
         }
-        return MachinePage(machines, top.flagOr("truncated", false))
+        return MachinePage(machines, fields.booleanOr("truncated", false))
     }
 }
--- a/src/main/kotlin/topazvale/wire/StateWire.kt
+++ b/src/main/kotlin/topazvale/wire/StateWire.kt
@@ -1,12 +1,12 @@
 package topazvale.wire
 
-/** A value with the revision of its last change, and the lease that it hangs on. */
+/** A stored value with the revision of its last change and the lease that it is attached to. */
 data class Entry(val key: String, val data: Map<String, Any?>, val version: Long, val lease: Long? = null)
 
-/** A page of entries, as of a revision. */
+/** A page of entries as of a revision. */
 data class Page(val entries: List<Entry>, val hasMore: Boolean, val revision: Long)
 
-/** A change of one key. */
+/** A change of one key in a transaction. */
 sealed interface Change {
     val key: String
 
@@ -15,33 +15,38 @@
     data class Delete(override val key: String) : Change
 }
 
-/** A change somebody made; [data] is null for a deletion. */
+/** A change that was carried out; [data] is null for a deletion. */
 data class Event(val key: String, val data: Map<String, Any?>?, val version: Long)
 
-/** Changes up to a revision. */
+/** The changes up to a revision. */
 data class Events(val events: List<Event>, val revision: Long)
 
-/** A key that has to stand at [version] for a transaction to count; 0: it must not exist. */
+/** A precondition of a transaction: the key must have this [version]; 0 means that it must not exist. */
 data class Condition(val key: String, val version: Long)
 
-/** The state service's bodies. */
+/** Bodies of the state service's API. */
 object StateWire {
-    /** The answer to a read. */
-    fun entry(body: ByteArray): Entry = entry(Fields(Cbor.decodeMap(body)))
-
-    private fun entry(f: Fields) = Entry(f.text("k"), f.map("data"), f.whole("stamp"), f.wholeOrNull("permit"))
-
-    /** The revision of a transaction that was carried out. */
-    fun revision(body: ByteArray): Long = Fields(Cbor.decodeMap(body)).whole("generation")
-
-    /** A page of entries. */
-    fun page(body: ByteArray): Page {
-        val f = Fields(Cbor.decodeMap(body))
-        return Page(f.maps("entries").map(::entry), f.flagOr("truncated", false), f.whole("generation"))
+    /** Decodes the response to a read. */
+    fun decodeEntry(body: ByteArray): Entry = entryOf(Fields(Cbor.decodeMap(body)))
+
+    private fun entryOf(fields: Fields) =
+        Entry(fields.string("k"), fields.map("data"), fields.integer("stamp"), fields.integerOrNull("permit"))
+
+    /** Decodes the revision of a transaction that was carried out. */
+    fun decodeRevision(body: ByteArray): Long = Fields(Cbor.decodeMap(body)).integer("generation")
+
+    /** Decodes a page of entries. */
+    fun decodePage(body: ByteArray): Page {
+        val fields = Fields(Cbor.decodeMap(body))
+        return Page(
+            fields.maps("entries").map(::entryOf),
+            fields.booleanOr("truncated", false),
+            fields.integer("generation"),
+        )
     }
 
-    /** A transaction. */
-    fun transaction(conditions: List<Condition>, changes: List<Change>): ByteArray = Cbor.encode(
+    /** Encodes a transaction. */
+    fun encodeTransaction(conditions: List<Condition>, changes: List<Change>): ByteArray = Cbor.encode(
         mapOf(
             "when" to conditions.map { mapOf("k" to it.key, "stamp" to it.version) },
             "apply" to changes.map { change ->
@@ -58,29 +63,31 @@
         ),
     )
 
-    /** The keys for which a transaction failed. */
-    fun failed(body: ByteArray): List<String> = Fields(Cbor.decodeMap(body)).textsOrNull("failed").orEmpty()
+    /** Decodes the keys whose conditions made a transaction fail. */
+    fun decodeFailedKeys(body: ByteArray): List<String> = Fields(Cbor.decodeMap(body)).stringsOrNull("failed").orEmpty()
 
-    /** Of the 400s one says that the lease is over; the others find fault with the transaction itself. */
-    fun leaseGone(body: ByteArray): Boolean = Fields(Cbor.decodeMap(body)).textOrNull("error") == "no such lease"
+    /**
+     * Whether a response with status 400 means that the lease has ended. Any other 400 rejects the transaction itself.
+     */
+    fun isLeaseGone(body: ByteArray): Boolean = Fields(Cbor.decodeMap(body)).stringOrNull("error") == "no such lease"
 
-    /** A request for a lease. */
-    fun grant(ttlMs: Long): ByteArray = Cbor.encode(mapOf("ttlMs" to ttlMs))
+    /** Encodes a request for a lease. */
+    fun encodeLeaseRequest(ttlMs: Long): ByteArray = Cbor.encode(mapOf("ttlMs" to ttlMs))
 
-    /** The lease that was granted. */
-    fun lease(body: ByteArray): Long = Fields(Cbor.decodeMap(body)).whole("permit")
+    /** Decodes the id of a granted lease. */
+    fun decodeLease(body: ByteArray): Long = Fields(Cbor.decodeMap(body)).integer("permit")
 
-    /** The answer to a watch. */
-    fun events(body: ByteArray): Events {
-        val f = Fields(Cbor.decodeMap(body))
-        val events = f.maps("events").map { e ->
-            val written = e.textOrNull("write")
-            if (written != null) {
-                Event(written, e.map("data"), e.whole("stamp"))
+    /** Decodes the response to a watch. */
+    fun decodeEvents(body: ByteArray): Events {
+        val fields = Fields(Cbor.decodeMap(body))
+        val events = fields.maps("events").map { event ->
+            val writtenKey = event.stringOrNull("write")
+            if (writtenKey != null) {
+                Event(writtenKey, event.map("data"), event.integer("stamp"))
             } else {
-                Event(e.text("drop"), null, e.whole("stamp"))
+                Event(event.string("drop"), null, event.integer("stamp"))
             }
         }
-        return Events(events, f.whole("generation"))
+        return Events(events, fields.integer("generation"))
     }
 }
--- a/src/main/kotlin/topazvale/wire/WorkerWire.kt
+++ b/src/main/kotlin/topazvale/wire/WorkerWire.kt
@@ -9,7 +9,7 @@
 import topazvale.model.TaskState
 import kotlin.time.DurationUnit
 
-/** What workers say and are told. */
+/** Bodies that are exchanged with workers: reports and commands. */
 object WorkerWire {
     private const val MAX_PORT = 65535
     private val states = mapOf(
@@ -30,54 +30,57 @@
         "no_such" to ExitCause.NO_SUCH,
     )
 
-    /** A report as workers send it; throws for a malformed one. */
+    /** Decodes a worker's report; throws [MalformedException] for an invalid one. */
     fun decodeReport(body: ByteArray): Report {
-        val f = Fields(Cbor.decodeMap(body))
+        val fields = Fields(Cbor.decodeMap(body))
         return Report(
-            host = f.text("host"),
-            endpoint = f.text("endpoint").also {
+            host = fields.string("host"),
+            endpoint = fields.string("endpoint").also {
                 if (!isEndpoint(it)) throw MalformedException("invalid field: endpoint")
             },
-            market = Market(f.text("flavor"), f.text("hall"), f.flag("standby")),
-            session = f.count("shift"),
-            sequence = f.count("tick"),
-            token = f.countOr("epoch", 0),
-            interruptionNotice = f.spanOrNull("warningS"),
-            tasks = f.maps("steps").map(::task),
+            market = Market(fields.string("flavor"), fields.string("hall"), fields.boolean("standby")),
+            session = fields.nonNegativeInteger("shift"),
+            sequence = fields.nonNegativeInteger("tick"),
+            token = fields.nonNegativeIntegerOr("epoch", 0),
+            interruptionNotice = fields.durationOrNull("warningS"),
+            tasks = fields.maps("steps").map(::reportedTask),
         )
     }
 
     private fun isEndpoint(text: String) =
         text.substringBeforeLast(':', "").isNotEmpty() && text.substringAfterLast(':').toIntOrNull() in 1..MAX_PORT
 
-    private fun task(f: Fields): ReportedTask {
-        val id = JobWire.parseTaskId(f.text("step")) ?: throw MalformedException("invalid field: step")
+    private fun reportedTask(fields: Fields): ReportedTask {
+        val id = JobWire.parseTaskId(fields.string("step")) ?: throw MalformedException("invalid field: step")
         return ReportedTask(
-            start = Start(id, f.count("try")),
-            state = states[f.text("status")] ?: throw MalformedException("invalid field: status"),
-            cause = f.textOrNull("cause")?.let { causes[it] ?: ExitCause.ERROR },
-            saved = f.flagOr("stored", false),
+            start = Start(id, fields.nonNegativeInteger("try")),
+            state = states[fields.string("status")] ?: throw MalformedException("invalid field: status"),
+            cause = fields.stringOrNull("cause")?.let { causes[it] ?: ExitCause.ERROR },
+            saved = fields.booleanOr("stored", false),
         )
     }
 
-    /** The answer to a report. */
+    /** Encodes the response to a report. */
     fun encodeReportResponse(token: Long, orders: List<Order>): ByteArray =
-        Cbor.encode(mapOf("epoch" to token, "orders" to orders.map(::order)))
+        Cbor.encode(mapOf("epoch" to token, "orders" to orders.map(::encodeOrder)))
 
-    /** Direct commands. */
+    /** Encodes direct commands to a worker. */
     fun encodeCommands(token: Long, session: Long, orders: List<Order>): ByteArray =
-        Cbor.encode(mapOf("epoch" to token, "shift" to session, "orders" to orders.map(::order)))
+        Cbor.encode(mapOf("epoch" to token, "shift" to session, "orders" to orders.map(::encodeOrder)))
 
-    /** For a worker that came to the wrong node. */
+    /** Encodes the response to a worker that contacted a node which does not lead. */
     fun encodeRedirect(leader: String?): ByteArray =
         Cbor.encode(if (leader == null) emptyMap() else mapOf("supervisor" to leader))
 
-    private fun order(o: Order): Map<String, Any?> = when (o) {
-        is Order.Run -> step("run", o.start)
-        is Order.Stop -> step("stop", o.start) + ("drainS" to o.gracePeriod.toDouble(DurationUnit.SECONDS))
-        is Order.Clear -> step("clear", o.start)
+    private fun encodeOrder(order: Order): Map<String, Any?> = when (order) {
+        is Order.Run -> startFields("run", order.start)
+
+        is Order.Stop -> startFields("stop", order.start) +
+            ("drainS" to order.gracePeriod.toDouble(DurationUnit.SECONDS))
+
+        is Order.Clear -> startFields("clear", order.start)
     }
 
-    private fun step(verb: String, s: Start) =
-        mapOf<String, Any?>("verb" to verb, "step" to s.task.toString(), "try" to s.attempt)
+    private fun startFields(verb: String, start: Start) =
+        mapOf<String, Any?>("verb" to verb, "step" to start.task.toString(), "try" to start.attempt)
 }
--- a/src/test/kotlin/topazvale/net/SocketsTest.kt
+++ b/src/test/kotlin/topazvale/net/SocketsTest.kt
@@ -10,10 +10,10 @@
 import kotlin.time.Duration.Companion.seconds
 
 class SocketsTest {
-    /** With half as many machines again, workers alone take nine in ten of the sockets. */
+    /** With half as many machines again, the connections of workers alone use nine tenths of the sockets. */
     @Test
-    fun `what can do without a connection gives way before workers are refused`() {
-        // open, spare, scarce
+    fun `optional connections are given up before connections of workers are refused`() {
+        // open connections, hasSpare, isScarce
         val cases =
             listOf(
                 Triple(100, true, false),
@@ -21,34 +21,38 @@
                 Triple(1700, true, true),
                 Triple(1750, false, true),
             )
-        for ((open, spare, scarce) in cases) {
+        for ((openConnections, hasSpare, isScarce) in cases) {
             val sockets = Sockets(limit = 1801, fixedConnections = 26)
-            repeat(open + 5) { sockets.opened() }
-            repeat(5) { sockets.closed() }
-            assertEquals(spare to scarce, sockets.hasSpare to sockets.isScarce, "$open open")
+            repeat(openConnections + 5) { sockets.recordOpened() }
+            repeat(5) { sockets.recordClosed() }
+            assertEquals(
+                hasSpare to isScarce,
+                sockets.hasSpare to sockets.isScarce,
+                "$openConnections open connections",
+            )
         }
     }
 
-    /** A process that stood still between asking and sending must not act on what it believed before. */
+    /** A process that is suspended between a decision and the request must not act on outdated state. */
     @Test
-    fun `a request that is wanted no more does not leave`() {
+    fun `a request whose precondition no longer holds is not sent`() {
         val vertx = smallVertx()
-        var came = 0
+        var receivedRequests = 0
         runBlocking {
             val server = vertx.createHttpServer().requestHandler {
-                came++
+                receivedRequests++
                 it.response().end()
             }.listen(0, "127.0.0.1").coAwait()
             val http = Http(vertx, maxConnections = 1, connectTimeout = 2.seconds)
-            for (wanted in listOf(false, true, false)) {
-                val reply = http.call(
+            for (preconditionHolds in listOf(false, true, false)) {
+                val response = http.call(
                     Address("127.0.0.1", server.actualPort()),
                     Call(HttpMethod.POST, "/", ByteArray(1), 10.seconds),
-                ) { wanted }
-                assertEquals(wanted, reply != null)
+                ) { preconditionHolds }
+                assertEquals(preconditionHolds, response != null)
             }
         }
-        assertEquals(1, came)
+        assertEquals(1, receivedRequests)
         vertx.close()
     }
 }
--- a/src/test/kotlin/topazvale/store/RecordFormsTest.kt
+++ b/src/test/kotlin/topazvale/store/RecordFormsTest.kt
@@ -12,8 +12,8 @@
 import java.util.BitSet
 
 /**
- * The records as the version in production writes them. Both versions serve side by side, so that each must read what
- * the other writes: a form that changes here breaks an upgrade or a way back.
+ * The stored form of each record, as the version in production writes it. Both versions run side by side during an
+ * upgrade and must read each other's records: a changed form breaks the upgrade or a rollback.
  */
 class RecordFormsTest {
     private val job = mapOf(
@@ -22,7 +22,7 @@
         "bundle" to "img", "sizeGb" to 1.0, "expectS" to 20.0, "snapshotS" to 10.0, "flushS" to 2.0,
     )
 
-    /** As it comes back from the state service. */
+    /** Encodes and decodes a record, as a round trip through the state service does. */
     private fun stored(record: Map<String, Any?>) = Cbor.decodeMap(Cbor.encode(record))
 
     @Test
@@ -75,7 +75,7 @@
     }
 
     @Test
-    fun `a service has the form of any job, and fields of a later version are passed over`() {
+    fun `a service is stored like any other job, and fields of a later version are ignored`() {
         val form = stored(JobWire.encodeSpec(Samples.service))
         assertEquals("service" to 0.0, form["shape"] to form["expectS"])
         val record = mapOf("job" to form + ("later" to 1), "at" to 5L, "status" to "LIVE", "later" to mapOf("x" to 1))
@@ -93,12 +93,12 @@
     }
 
     @Test
-    fun `a cancelled job that had to be cut is one that production reads`() {
+    fun `production reads a cancelled job whose long fields were omitted`() {
         val long = Samples.array.copy(types = List(400) { "type-$it" })
-        val kept = JobRecords.decode(
+        val decoded = JobRecords.decode(
             stored(JobRecords.encodeCancelled(JobRecord(long, Samples.now, JobStatus.LIVE), 2048)),
         )
-        assertEquals(long.copy(types = null, queue = "", image = ""), kept.spec)
-        assertEquals(JobStatus.CANCELLED, kept.status)
+        assertEquals(long.copy(types = null, queue = "", image = ""), decoded.spec)
+        assertEquals(JobStatus.CANCELLED, decoded.status)
     }
 }
--- a/src/test/kotlin/topazvale/wire/WireTest.kt
+++ b/src/test/kotlin/topazvale/wire/WireTest.kt
@@ -11,10 +11,10 @@
 import kotlin.time.Duration.Companion.seconds
 
 class WireTest {
-    private val good = JobWire.encodeSpec(Samples.array)
+    private val validFields = JobWire.encodeSpec(Samples.array)
 
     @Test
-    fun `submissions come back as they went`() {
+    fun `a submission is the same after encoding and decoding`() {
         for (spec in listOf(
             Samples.array,
             Samples.gang,
@@ -25,20 +25,20 @@
     }
 
     @Test
-    fun `bad submissions are told what is wrong`() {
+    fun `the error for an invalid submission names the fault`() {
         val cases = listOf(
-            "missing field: uid" to good - "uid",
-            "invalid field: uid" to good + ("uid" to "job-1/2"),
-            "invalid field: uid" to good + ("uid" to 7),
-            "invalid field: shape" to good + ("shape" to "ring"),
-            "invalid field: steps" to good + ("steps" to 0),
-            "invalid field: steps" to good + ("steps" to 100_001),
-            "invalid field: steps" to good + ("steps" to 1.5),
-            "invalid field: cores" to good + ("cores" to Double.NaN),
-            "invalid field: cores" to good + ("cores" to -1.0),
-            "invalid field: gpus" to good + ("gpus" to "one"),
-            "invalid field: flavors" to good + ("flavors" to listOf(1)),
-            "invalid field: oneZone" to good + ("oneZone" to "yes"),
+            "missing field: uid" to validFields - "uid",
+            "invalid field: uid" to validFields + ("uid" to "job-1/2"),
+            "invalid field: uid" to validFields + ("uid" to 7),
+            "invalid field: shape" to validFields + ("shape" to "ring"),
+            "invalid field: steps" to validFields + ("steps" to 0),
+            "invalid field: steps" to validFields + ("steps" to 100_001),
+            "invalid field: steps" to validFields + ("steps" to 1.5),
+            "invalid field: cores" to validFields + ("cores" to Double.NaN),
+            "invalid field: cores" to validFields + ("cores" to -1.0),
+            "invalid field: gpus" to validFields + ("gpus" to "one"),
+            "invalid field: flavors" to validFields + ("flavors" to listOf(1)),
+            "invalid field: oneZone" to validFields + ("oneZone" to "yes"),
         )
         for ((message, body) in cases) {
             val e =
@@ -48,14 +48,14 @@
     }
 
     @Test
-    fun `each field that is missing or of another type is named`() {
+    fun `the error names a field that is missing or has the wrong type`() {
         val optional = setOf("flavors", "hall", "dueS")
-        assertEquals(20, good.keys.plus(optional).size)
-        for (field in good.keys - optional) {
+        assertEquals(20, validFields.keys.plus(optional).size)
+        for (field in validFields.keys - optional) {
             for (value in listOf(null, listOf(1), mapOf("a" to 1))) {
                 val e =
                     assertThrows(MalformedException::class.java, {
-                        JobWire.decodeSubmission(Cbor.encode(good + (field to value)))
+                        JobWire.decodeSubmission(Cbor.encode(validFields + (field to value)))
                     }, field)
                 assertEquals(if (value == null) "missing field: $field" else "invalid field: $field", e.message)
             }
@@ -64,37 +64,39 @@
             for (value in listOf(-0.5, Double.NaN, Double.POSITIVE_INFINITY, "1", true)) {
                 val e =
                     assertThrows(MalformedException::class.java, {
-                        JobWire.decodeSubmission(Cbor.encode(good + (field to value)))
+                        JobWire.decodeSubmission(Cbor.encode(validFields + (field to value)))
                     }, field)
                 assertEquals("invalid field: $field", e.message)
             }
         }
         for ((field, value) in listOf("flavors" to "gpu", "hall" to 1, "hall" to listOf("a"))) {
             assertThrows(MalformedException::class.java, {
-                JobWire.decodeSubmission(Cbor.encode(good + (field to value)))
+                JobWire.decodeSubmission(Cbor.encode(validFields + (field to value)))
             }, field)
         }
     }
 
     @Test
-    fun `garbled reports are malformed`() {
+    fun `an invalid report is malformed`() {
         val task = mapOf("step" to "job-1/3", "try" to 5, "status" to "running")
-        val fine = mapOf(
+        val validReport = mapOf(
             "host" to "n-1", "endpoint" to "10.1.0.1:9000", "flavor" to "gpu", "hall" to "a", "standby" to true,
             "shift" to 2, "tick" to 9, "epoch" to 41, "steps" to listOf(task),
         )
-        WorkerWire.decodeReport(Cbor.encode(fine))
-        val bad = listOf(
-            fine + ("endpoint" to "nowhere"), fine + ("endpoint" to "10.1.0.1:port"),
-            fine + ("endpoint" to "10.1.0.1:70000"),
-            fine + ("shift" to -1), fine + ("tick" to "9"), fine + ("epoch" to -2), fine + ("steps" to task),
-            fine + ("steps" to listOf(task + ("step" to "job-1"))),
-            fine + ("steps" to listOf(task + ("step" to "job-1/-3"))),
-            fine + ("steps" to listOf(task + ("status" to "asleep"))), fine + ("steps" to listOf(task - "try")),
-            fine - "host",
-            fine + ("warningS" to -1.0),
+        WorkerWire.decodeReport(Cbor.encode(validReport))
+        val invalidReports = listOf(
+            validReport + ("endpoint" to "nowhere"), validReport + ("endpoint" to "10.1.0.1:port"),
+            validReport + ("endpoint" to "10.1.0.1:70000"),
+            validReport + ("shift" to -1), validReport + ("tick" to "9"),
+            validReport + ("epoch" to -2), validReport + ("steps" to task),
+            validReport + ("steps" to listOf(task + ("step" to "job-1"))),
+            validReport + ("steps" to listOf(task + ("step" to "job-1/-3"))),
+            validReport + ("steps" to listOf(task + ("status" to "asleep"))),
+            validReport + ("steps" to listOf(task - "try")),
+            validReport - "host",
+            validReport + ("warningS" to -1.0),
         )
-        for (body in bad) {
+        for (body in invalidReports) {
             assertThrows(MalformedException::class.java, {
                 WorkerWire.decodeReport(Cbor.encode(body))
             }, "$body")
@@ -102,28 +104,28 @@
     }
 
     @Test
-    fun `of the state service's 400s one says that the lease is over`() {
-        assertEquals(true, StateWire.leaseGone(Cbor.encode(mapOf("error" to "no such lease"))))
+    fun `one of the state service's responses with status 400 means that the lease has ended`() {
+        assertEquals(true, StateWire.isLeaseGone(Cbor.encode(mapOf("error" to "no such lease"))))
         for (body in listOf(
             mapOf("error" to "value too large"),
             emptyMap(),
         )) {
-            assertEquals(false, StateWire.leaseGone(Cbor.encode(body)))
+            assertEquals(false, StateWire.isLeaseGone(Cbor.encode(body)))
         }
     }
 
     @Test
-    fun `what is not one CBOR map is malformed`() {
-        val truncated = Cbor.encode(good).let { it.copyOf(it.size - 3) }
+    fun `a body other than a single CBOR map is malformed`() {
+        val truncated = Cbor.encode(validFields).let { it.copyOf(it.size - 3) }
         for (bytes in listOf(ByteArray(0), byteArrayOf(-1), Cbor.encode(listOf(1)), Cbor.encode("text"), truncated)) {
             assertThrows(MalformedException::class.java) { JobWire.decodeSubmission(bytes) }
         }
     }
 
     @Test
-    fun `whole numbers pass for amounts, every float width is read, unknown fields are ignored`() {
+    fun `integers are accepted as numbers, every float width is decoded, unknown fields are ignored`() {
         val spec = JobWire.decodeSubmission(
-            Cbor.encode(good + mapOf("cores" to 5, "steps" to 4.0, "new" to listOf(null))),
+            Cbor.encode(validFields + mapOf("cores" to 5, "steps" to 4.0, "new" to listOf(null))),
         )
         assertEquals(Samples.array, spec)
         // 1.5 in half, single and double precision
@@ -135,7 +137,7 @@
     }
 
     @Test
-    fun `reports are read and orders written in the workers' words`() {
+    fun `reports and orders have the field names and values of the workers' protocol`() {
         val body = mapOf(
             "host" to "n-1", "endpoint" to "10.1.0.1:9000", "flavor" to "gpu", "hall" to "a", "standby" to true,
             "shift" to 2, "tick" to 9, "epoch" to 41, "warningS" to null,
@@ -153,12 +155,12 @@
         val report = WorkerWire.decodeReport(Cbor.encode(body))
         assertEquals(Start(TaskId("job-1", 3), 5), report.tasks.single().start)
         assertEquals(TaskState.EXITED, report.tasks.single().state)
-        val answer = Cbor.decodeMap(
+        val response = Cbor.decodeMap(
             WorkerWire.encodeReportResponse(41, listOf(Order.Stop(Start(TaskId("job-1", 3), 5), 2.seconds))),
         )
         assertEquals(
             listOf(mapOf("verb" to "stop", "step" to "job-1/3", "try" to 5L, "drainS" to 2.0)),
-            answer["orders"],
+            response["orders"],
         )
     }
 }
