--- a/src/main/kotlin/topazvale/Controller.kt
+++ b/src/main/kotlin/topazvale/Controller.kt
@@ -14,7 +14,7 @@
 import topazvale.mesh.PeerClient
 import topazvale.mesh.PeerStatus
 import topazvale.mesh.Peers
-import topazvale.mesh.allLackStateService
+import topazvale.mesh.allCutOffFromStateService
 import topazvale.mesh.highestToken
 import topazvale.model.Clocks
 import topazvale.model.MachineType
@@ -28,12 +28,12 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Where a controller runs: its coroutines on one event loop, its sockets, its clocks. */
+/** The environment of a controller: its coroutine scope on one event loop, its sockets, clocks and random numbers. */
 class ControllerRuntime(val scope: SupervisedScope, val sockets: Sockets, val clocks: Clocks, val random: Random)
 
 /**
- * One controller, whatever brings it its requests: answers users at any time, and leads while it holds the leader key.
- * All its methods are called on the event loop of the runtime's scope.
+ * One controller, independent of the transport: it serves users at any time, and leads while it holds the leader key.
+ * All methods are called on the event loop of the runtime's scope.
  */
 class Controller(
     private val settings: Settings,
@@ -44,72 +44,72 @@
     private val state = services.state
     private val scope = runtime.scope
     private val clocks = runtime.clocks
-    private val started = clocks.mark()
+    private val startedAt = clocks.mark()
     private val peers =
         Peers(scope, settings.peers.filter { it.member != settings.member }, peerClient, clocks) {
-            state.timeSinceLastResponse < TOUCH_INTERVAL * 2
+            state.timeSinceLastResponse < PROBE_INTERVAL * 2
         }
     private val cancellations = CancellationTracker(settings.workers.cancelLimit, peers, clocks)
-    private val life = runtime.random.nextLong().toULong().toString(HEXADECIMAL)
+    private val incarnation = runtime.random.nextLong().toULong().toString(HEXADECIMAL)
     private val election = Election(
         state,
-        Candidate(settings.member, life),
+        Candidate(settings.member, incarnation),
         settings.tuning.leaderLease,
         scope,
         clocks,
         object : TermListener {
-            override fun termBegan(term: Term) = lead(term)
+            override fun termBegan(term: Term) = beginTerm(term)
 
-            override fun termEnded(term: Term) = stepDown()
+            override fun termEnded(term: Term) = endTerm()
         },
     )
-    private var types: List<MachineType>? = null
+    private var machineTypes: List<MachineType>? = null
     private var leadership: Leadership? = null
     private var termScope: SupervisedScope? = null
 
-    /** Answers users. */
+    /** Serves users. */
     val submissions = SubmissionApi(
         state,
-        JobAdmission(settings.teams, settings.stateLimits.valueBytes) { types },
+        JobAdmission(settings.teams, settings.stateLimits.valueBytes) { machineTypes },
         cancellations.log,
         clocks,
         ::healthy,
     )
 
-    /** Answers workers' reports. */
+    /** Responds to workers' reports. */
     val reports = ReportApi(::leadershipStatus)
 
     /**
-     * For how long a leader still answers reports after the last moment at which it was certain to know of all
-     * cancellations.
+     * The lease grace period: for how long a leader still responds to reports after the last time at which it was sure
+     * to know all cancellations.
      *
-     * One that it could not see may have been told to a user right after that moment. The workers' leases that it
-     * renewed at the very end run out in time for it.
+     * Another controller may confirm a cancellation to a user right after that time. The worker leases that the leader
+     * renews at the end of the grace period then still expire within the cancellation limit.
      */
-    private val grace: Duration =
-        (settings.workers.cancelLimit - settings.workers.lease - GRACE_MARGIN).coerceAtLeast(Duration.ZERO)
+    private val gracePeriod: Duration =
+        (settings.workers.cancelLimit - settings.workers.lease - GRACE_PERIOD_MARGIN).coerceAtLeast(Duration.ZERO)
 
-    /** Starts the loops of every controller: peers, machine types, the state service, elections. */
+    /** Starts the loops that run on every controller: peers, machine types, state service, election. */
     fun start() {
         peers.start()
-        scope.launchForever("machine types") { learnTypes() }
-        scope.launchForever("state service") { keepInTouch() }
+        scope.launchForever("machine types") { refreshMachineTypes() }
+        scope.launchForever("state service") { probeStateService() }
         election.start()
     }
 
-    /** Ends the term, if there is one. The loops end with the scope of the runtime. */
+    /** Ends the current term, if any. The loops end with the runtime's scope. */
     fun close() {
         termScope?.cancel()
     }
 
-    /** What this controller tells its peers of itself. */
+    /** The status that this controller reports to its peers. */
     fun peerStatus(): PeerStatus {
-        val life = started.elapsedNow()
-        // The list first: reading it may shorten the time for which it is complete.
+        val uptime = startedAt.elapsedNow()
+        // Read the list first: reading it may shorten the period for which it is complete.
         val cancelledJobs = cancellations.log.ids.toList()
         return PeerStatus(
             settings.member,
-            stateUnresponsiveMs = minOf(state.timeSinceLastResponse, life).inWholeMilliseconds,
+            stateUnresponsiveMs = minOf(state.timeSinceLastResponse, uptime).inWholeMilliseconds,
             token = election.term?.token ?: 0,
             cancellationsCompleteMs = cancellations.log.completeFor.inWholeMilliseconds,
             cancelledJobs = cancelledJobs,
@@ -118,22 +118,26 @@
     }
 
     /**
-     * Whether a user does well to ask here. Without the state service that is so only while the peers lack it too; of a
-     * controller that hears no peer it cannot be told.
+     * Health check: whether users should send requests to this controller. Without the state service it is healthy only
+     * if no reachable peer has access either; without a reachable peer this cannot be determined, and it is unhealthy.
      */
     fun healthy(): Boolean {
-        if (state.timeSinceLastResponse < UNHEALTHY_SILENCE) return true
-        return allLackStateService(peers.all, fresh = UNHEALTHY_SILENCE, silence = UNHEALTHY_SILENCE)
+        if (state.timeSinceLastResponse < UNHEALTHY_AFTER) return true
+        return allCutOffFromStateService(
+            peers.latestStatuses,
+            maxStatusAge = UNHEALTHY_AFTER,
+            minUnresponsive = UNHEALTHY_AFTER,
+        )
     }
 
-    private fun lead(term: Term) {
-        val own = scope.child()
-        val context = TermContext(settings, term, services, runtime.sockets, own, clocks)
-        termScope = own
-        leadership = Leadership(context, grace, cancellations::reportedJobs).also { it.start() }
+    private fun beginTerm(term: Term) {
+        val newScope = scope.child()
+        val context = TermContext(settings, term, services, runtime.sockets, newScope, clocks)
+        termScope = newScope
+        leadership = Leadership(context, gracePeriod, cancellations::reportedJobs).also { it.start() }
     }
 
-    private fun stepDown() {
+    private fun endTerm() {
         termScope?.cancel()
         leadership = null
     }
@@ -142,42 +146,42 @@
         val term = election.term
         val current = leadership
         if (term == null || term.ended || current == null) return LeadershipStatus.Following(election.leader)
-        if (highestToken(peers.all) > term.token) {
+        if (highestToken(peers.latestStatuses) > term.token) {
             term.end()
             return LeadershipStatus.Following(null)
         }
-        // Neither alone will do: a leader whose watch still speaks may have lost its lease, and one that keeps its
-        // lease may not see what users cancel.
-        val known = cancellations.completeUntil(minOf(term.lastRenewedAt, current.currentAsOf))
-        return if (known.elapsedNow() > grace) {
+        // The earlier time counts: a leader whose watch still delivers may have lost its lease, and a leader that holds
+        // its lease may have a stale watch and miss cancellations.
+        val completeUntil = cancellations.completeUntil(minOf(term.lastRenewedAt, current.currentAsOf))
+        return if (completeUntil.elapsedNow() > gracePeriod) {
             LeadershipStatus.GracePeriodExpired(current::applyUnanswered)
         } else {
             LeadershipStatus.Leading(term.token, current::respond)
         }
     }
 
-    private suspend fun learnTypes() {
+    private suspend fun refreshMachineTypes() {
         while (true) {
-            services.cloud.listMachineTypes()?.let { types = it }
-            delay(if (types == null) TYPES_RETRY else TYPES_INTERVAL)
+            services.cloud.listMachineTypes()?.let { machineTypes = it }
+            delay(if (machineTypes == null) MACHINE_TYPES_RETRY else MACHINE_TYPES_INTERVAL)
         }
     }
 
-    /** A controller that nobody asks anything must still know how it stands with the state service. */
-    private suspend fun keepInTouch() {
+    /** Probes the state service, so that an idle controller also knows whether the service responds. */
+    private suspend fun probeStateService() {
         while (true) {
-            delay(TOUCH_INTERVAL)
-            if (state.timeSinceLastResponse > TOUCH_INTERVAL) state.get(Keys.LEADER)
+            delay(PROBE_INTERVAL)
+            if (state.timeSinceLastResponse > PROBE_INTERVAL) state.get(Keys.LEADER)
         }
     }
 
     private companion object {
-        /** For a report and its answer on their way, and for the stop that follows. */
-        val GRACE_MARGIN = 4.seconds
-        val UNHEALTHY_SILENCE = 3.seconds
-        val TOUCH_INTERVAL = 1.seconds
-        val TYPES_RETRY = 1.seconds
-        val TYPES_INTERVAL = 120.seconds
+        /** Covers the transfer of a report and its response, and the stop of the tasks that follows. */
+        val GRACE_PERIOD_MARGIN = 4.seconds
+        val UNHEALTHY_AFTER = 3.seconds
+        val PROBE_INTERVAL = 1.seconds
+        val MACHINE_TYPES_RETRY = 1.seconds
+        val MACHINE_TYPES_INTERVAL = 120.seconds
         const val HEXADECIMAL = 16
     }
 }
--- a/src/main/kotlin/topazvale/Node.kt
+++ b/src/main/kotlin/topazvale/Node.kt
@@ -15,7 +15,7 @@
 import topazvale.supervision.SupervisedScope
 import kotlin.random.Random
 
-/** A controller that is reached over HTTP: by users and workers at one address, by its peers at another. */
+/** A controller with its HTTP servers: one address for users and workers, another one for peers. */
 class Node(private val vertx: Vertx, private val settings: Settings, services: ServiceClients, sockets: Sockets) {
     private val scope = SupervisedScope(vertx.orCreateContext.dispatcher(), ExitOnFatalFailure)
     private val runtime = ControllerRuntime(scope, sockets, Clocks.SYSTEM, Random.Default)
@@ -24,9 +24,9 @@
     private val server =
         Server(vertx, scope, handlers, sockets, settings.workers.lease * IDLE_TIMEOUT_LEASES, Metrics())
 
-    /** Starts listening and taking part in elections; returns the port for users and workers. */
+    /** Starts the servers and joins the election; returns the port for users and workers. */
     suspend fun start(): Int {
-        // For what runs on the event loop outside of coroutines: connections, and the peers' questions.
+        // Covers code on the event loop outside of coroutines: connections and requests of peers.
         vertx.exceptionHandler { scope.reportFailure("event loop", it) }
         val port = server.listen(settings.bind)
         servePeerStatus(vertx, settings.mesh, controller::peerStatus)
@@ -34,7 +34,7 @@
         return port
     }
 
-    /** Ends the controller; what is open is closed with the event loop. */
+    /** Stops the controller; open connections are closed with the event loop. */
     fun close() {
         controller.close()
         scope.cancel()
--- a/src/main/kotlin/topazvale/api/ApiResponse.kt
+++ b/src/main/kotlin/topazvale/api/ApiResponse.kt
@@ -7,48 +7,52 @@
 import topazvale.net.HttpStatus
 import topazvale.wire.Cbor
 
-/** An HTTP response before it is sent. */
+/** An HTTP response that has not been sent yet. */
 class ApiResponse(
     val status: Int,
     val body: ByteArray,
     val retryAfterS: Int? = null,
-    val type: String = "application/cbor",
-    /** The caller does better to come back over another connection, which may lead to another node. */
-    val close: Boolean = false,
+    val contentType: String = "application/cbor",
+    /** Closes the connection after the response, so that the client reconnects, possibly to another node. */
+    val closeConnection: Boolean = false,
 ) {
     companion object {
         /** A response with a CBOR body. */
         fun of(status: Int, body: Map<String, Any?>) = ApiResponse(status, Cbor.encode(body))
 
-        /** A response that says what is wrong with the request. */
+        /** An error response whose body holds [message]. */
         fun error(status: Int, message: String) = of(status, mapOf("error" to message))
 
-        /** Nothing can be said now; the caller learns when to come back. */
-        fun retryLater(message: String, close: Boolean = false) =
-            ApiResponse(HttpStatus.UNAVAILABLE, Cbor.encode(mapOf("error" to message)), retryAfterS = 1, close = close)
+        /** 503 with `Retry-After`: the request cannot be answered at the moment. */
+        fun retryLater(message: String, closeConnection: Boolean = false) = ApiResponse(
+            HttpStatus.UNAVAILABLE,
+            Cbor.encode(mapOf("error" to message)),
+            retryAfterS = 1,
+            closeConnection = closeConnection,
+        )
     }
 }
 
-/** Sends [answer], unless the caller has gone meanwhile. */
-internal fun HttpServerResponse.send(answer: ApiResponse, close: Boolean) {
+/** Sends [response], unless the client has closed the connection. */
+internal fun HttpServerResponse.send(response: ApiResponse, closeConnection: Boolean) {
     if (ended() || closed()) return
-    statusCode = answer.status
-    answer.retryAfterS?.let { putHeader("Retry-After", it.toString()) }
-    if (close) putHeader("Connection", "close")
-    putHeader("Content-Type", answer.type)
-    end(Buffer.buffer(answer.body))
+    statusCode = response.status
+    response.retryAfterS?.let { putHeader("Retry-After", it.toString()) }
+    if (closeConnection) putHeader("Connection", "close")
+    putHeader("Content-Type", response.contentType)
+    end(Buffer.buffer(response.body))
 }
 
-/** The body, or null where it is over [limit]; what is over is never held in memory. */
-internal suspend fun HttpServerRequest.bodyUpTo(limit: Int): ByteArray? {
-    val announced = getHeader("Content-Length")?.toLongOrNull() ?: 0
-    if (announced > limit) return null
+/** The body, or null if it exceeds [limit]. At most [limit] bytes are held in memory. */
+internal suspend fun HttpServerRequest.readBodyUpTo(limit: Int): ByteArray? {
+    val contentLength = getHeader("Content-Length")?.toLongOrNull() ?: 0
+    if (contentLength > limit) return null
     var size = 0
-    val collected = Buffer.buffer(announced.toInt())
-    handler { part ->
-        size += part.length()
-        if (size <= limit) collected.appendBuffer(part)
+    val buffer = Buffer.buffer(contentLength.toInt())
+    handler { chunk ->
+        size += chunk.length()
+        if (size <= limit) buffer.appendBuffer(chunk)
     }
     end().coAwait()
-    return if (size <= limit) collected.bytes else null
+    return if (size <= limit) buffer.bytes else null
 }
--- a/src/main/kotlin/topazvale/api/Metrics.kt
+++ b/src/main/kotlin/topazvale/api/Metrics.kt
@@ -6,29 +6,29 @@
 import kotlin.time.Duration
 import io.micrometer.core.instrument.Metrics as GlobalMetrics
 
-/** Counters and answer times. Made when first asked of, as starting has to be quick. */
+/** Response counters and response times. Meters are created on first use to keep the process start fast. */
 class Metrics {
     private val registry by lazy { SimpleMeterRegistry().also(GlobalMetrics::addRegistry) }
     private val counters = HashMap<Pair<String, Int>, Counter>()
-    private val times = HashMap<String, Histogram>()
+    private val responseTimes = HashMap<String, Histogram>()
 
-    /** A request of a route has been answered. */
-    fun answered(route: String, status: Int, took: Duration) {
+    /** Records the response to a request of [route]. */
+    fun recordResponse(route: String, status: Int, duration: Duration) {
         counters.getOrPut(route to status) {
             Counter.builder("answers").tag("route", route).tag("status", status.toString()).register(registry)
         }.increment()
-        times.getOrPut(route) { Histogram(LONGEST_US, 2) }
-            .recordValue(took.inWholeMicroseconds.coerceIn(0, LONGEST_US))
+        responseTimes.getOrPut(route) { Histogram(MAX_RECORDED_US, 2) }
+            .recordValue(duration.inWholeMicroseconds.coerceIn(0, MAX_RECORDED_US))
     }
 
     /** All metrics as plain text. */
-    fun text(): String = buildString {
+    fun render(): String = buildString {
         appendLine(registry.metersAsString)
-        for ((route, h) in times) {
+        for ((route, histogram) in responseTimes) {
             appendLine(
-                "answer_time_us{route=$route} p50=${h.getValueAtPercentile(
+                "answer_time_us{route=$route} p50=${histogram.getValueAtPercentile(
                     MEDIAN,
-                )} p99=${h.getValueAtPercentile(TAIL)}",
+                )} p99=${histogram.getValueAtPercentile(TAIL)}",
             )
         }
     }
@@ -36,6 +36,6 @@
     private companion object {
         const val MEDIAN = 50.0
         const val TAIL = 99.0
-        const val LONGEST_US = 60_000_000L
+        const val MAX_RECORDED_US = 60_000_000L
     }
 }
--- a/src/main/kotlin/topazvale/api/ReportApi.kt
+++ b/src/main/kotlin/topazvale/api/ReportApi.kt
@@ -5,38 +5,41 @@
 import topazvale.net.HttpStatus
 import topazvale.wire.WorkerWire
 
-/** Whether this controller may answer workers at this moment. */
+/** Whether this controller may currently respond to workers' reports. */
 sealed interface LeadershipStatus {
-    /** Leading: reports are answered under the token; without an answer the state is not rebuilt yet. */
+    /** Leading under [token]. [respond] returns null until the cluster state has been rebuilt. */
     class Leading(val token: Long, val respond: (Report) -> List<Order>?) : LeadershipStatus
 
-    /** Leading, but not certain for too long of what users were told: no lease may be renewed. */
+    /**
+     * Leading, but the lease grace period has expired: the leader may have missed cancellations that were confirmed to
+     * users. It must not respond to reports, as a response renews the worker's lease.
+     */
     class GracePeriodExpired(val applyUnanswered: (Report) -> Unit) : LeadershipStatus
 
-    /** Another controller leads, or nobody that is known. */
+    /** Another controller leads, or none does; [leader] is null if the leader is unknown. */
     class Following(val leader: String?) : LeadershipStatus
 }
 
-/** Answers workers' reports, or sends workers to the controller that may. */
+/** Responds to workers' reports, or redirects workers to the leader. */
 class ReportApi(private val leadershipStatus: () -> LeadershipStatus) {
     /** `POST /agent/beat`. */
-    fun report(report: Report): ApiResponse = when (val now = leadershipStatus()) {
+    fun report(report: Report): ApiResponse = when (val status = leadershipStatus()) {
         is LeadershipStatus.Following ->
-            if (now.leader == null) ApiResponse.retryLater("no leader") else elsewhere(now.leader)
+            if (status.leader == null) ApiResponse.retryLater("no leader") else redirect(status.leader)
 
         is LeadershipStatus.GracePeriodExpired ->
-            ApiResponse.retryLater("no word from the state service").also { now.applyUnanswered(report) }
+            ApiResponse.retryLater("no word from the state service").also { status.applyUnanswered(report) }
 
         is LeadershipStatus.Leading -> when {
-            // It has seen a later leader: an answer of ours would be dropped while its lease runs out.
-            report.token > now.token -> elsewhere(null)
+            // The worker has seen a newer leader: it would drop this response, and its lease would expire.
+            report.token > status.token -> redirect(null)
 
-            else -> now.respond(report)?.let {
-                ApiResponse(HttpStatus.OK, WorkerWire.encodeReportResponse(now.token, it))
+            else -> status.respond(report)?.let {
+                ApiResponse(HttpStatus.OK, WorkerWire.encodeReportResponse(status.token, it))
             }
                 ?: ApiResponse.retryLater("not ready")
         }
     }
 
-    private fun elsewhere(leader: String?) = ApiResponse(HttpStatus.MISDIRECTED, WorkerWire.encodeRedirect(leader))
+    private fun redirect(leader: String?) = ApiResponse(HttpStatus.MISDIRECTED, WorkerWire.encodeRedirect(leader))
 }
--- a/src/main/kotlin/topazvale/api/Server.kt
+++ b/src/main/kotlin/topazvale/api/Server.kt
@@ -18,13 +18,14 @@
 import kotlin.time.Duration
 import kotlin.time.TimeSource
 
-/** What answers the requests of each kind of caller. */
+/** The request handlers for users, workers and health checks. */
 class Handlers(val submissions: SubmissionApi, val reports: ReportApi, val healthy: () -> Boolean)
 
 /**
- * Takes requests of users, workers and health checks over HTTP, on the event loop of [scope].
+ * HTTP server for users, workers and health checks, on the event loop of [scope].
  *
- * A connection on which nothing is asked for as long as [idleTimeout] is closed: its caller is mostly gone silently.
+ * Connections without a request for [idleTimeout] are closed: most of their clients have disappeared without closing
+ * them.
  */
 class Server(
     private val vertx: Vertx,
@@ -35,71 +36,75 @@
     private val metrics: Metrics,
 ) {
 
-    /** The port on which requests are taken from now on. */
-    suspend fun listen(at: Address): Int {
+    /** Starts the server and returns its port. */
+    suspend fun listen(address: Address): Int {
         val options = HttpServerOptions().setIdleTimeout(idleTimeout.inWholeSeconds.toInt())
         return vertx.createHttpServer(options)
             .connectionHandler(sockets::track)
             .requestHandler(::handle)
-            .listen(at.port, at.host).coAwait().actualPort()
+            .listen(address.port, address.host).coAwait().actualPort()
     }
 
     private fun handle(request: HttpServerRequest) {
-        val began = TimeSource.Monotonic.markNow()
-        // The body's handler has to be in place before this call returns.
+        val startedAt = TimeSource.Monotonic.markNow()
+        // Undispatched: the body handler must be installed before this function returns.
         scope.scope.launch(start = CoroutineStart.UNDISPATCHED) {
-            val answer = answer(request)
-            val kind = kind(request.path().orEmpty())
-            request.response().send(answer, close = answer.close || (kind == USERS && sockets.isScarce))
-            metrics.answered(kind, answer.status, began.elapsedNow())
+            val response = respond(request)
+            val route = routeName(request.path().orEmpty())
+            request.response().send(
+                response,
+                closeConnection = response.closeConnection || (route == USER_ROUTE && sockets.isScarce),
+            )
+            metrics.recordResponse(route, response.status, startedAt.elapsedNow())
         }
     }
 
-    private suspend fun answer(request: HttpServerRequest): ApiResponse = try {
-        val body = request.bodyUpTo(BODY_LIMIT)
+    private suspend fun respond(request: HttpServerRequest): ApiResponse = try {
+        val body = request.readBodyUpTo(MAX_BODY_BYTES)
         if (body == null) TOO_LARGE else route(request.method(), request.path().orEmpty(), body)
     } catch (e: CancellationException) {
         throw e
     } catch (
-        // Whatever fails, the caller gets an answer.
+        // Any failure gets a 500 response.
         @Suppress("TooGenericExceptionCaught") e: Throwable,
     ) {
-        scope.reportFailure("request of ${kind(request.path().orEmpty())}", e)
+        scope.reportFailure("request of ${routeName(request.path().orEmpty())}", e)
         ApiResponse.error(HttpStatus.INTERNAL_ERROR, "internal error")
     }
 
     private suspend fun route(method: HttpMethod, path: String, body: ByteArray): ApiResponse = when (path) {
-        "/healthz" -> only(method, HttpMethod.GET) { health() }
-        "/metrics" -> only(method, HttpMethod.GET) { metrics() }
-        "/agent/beat" -> only(method, HttpMethod.POST) { report(body) }
-        "/submissions" -> only(method, HttpMethod.POST) { handlers.submissions.submit(body) }
+        "/healthz" -> allow(method, HttpMethod.GET) { healthResponse() }
+        "/metrics" -> allow(method, HttpMethod.GET) { metricsResponse() }
+        "/agent/beat" -> allow(method, HttpMethod.POST) { report(body) }
+        "/submissions" -> allow(method, HttpMethod.POST) { handlers.submissions.submit(body) }
         else -> routeJob(method, path.removePrefix("/").split('/'))
     }
 
-    private suspend fun routeJob(method: HttpMethod, parts: List<String>): ApiResponse {
-        val id = parts.getOrNull(1)
+    private suspend fun routeJob(method: HttpMethod, segments: List<String>): ApiResponse {
+        val id = segments.getOrNull(1)
         return when {
-            parts.first() != "submissions" || id == null -> NO_SUCH_PATH
+            segments.first() != "submissions" || id == null -> NO_SUCH_PATH
 
-            parts.size == POLL_PARTS -> only(method, HttpMethod.GET) { handlers.submissions.poll(id) }
+            segments.size == POLL_SEGMENTS -> allow(method, HttpMethod.GET) { handlers.submissions.poll(id) }
 
-            parts.size == CANCEL_PARTS && parts.last() == "abort" ->
-                only(method, HttpMethod.POST) { handlers.submissions.cancel(id) }
+            segments.size == CANCEL_SEGMENTS && segments.last() == "abort" ->
+                allow(method, HttpMethod.POST) { handlers.submissions.cancel(id) }
 
             else -> NO_SUCH_PATH
         }
     }
 
-    private inline fun only(method: HttpMethod, allowed: HttpMethod, answer: () -> ApiResponse): ApiResponse =
-        if (method == allowed) answer() else ApiResponse.error(HttpStatus.METHOD_NOT_ALLOWED, "method not allowed")
+    private inline fun allow(method: HttpMethod, allowed: HttpMethod, respond: () -> ApiResponse): ApiResponse =
+        if (method == allowed) respond() else ApiResponse.error(HttpStatus.METHOD_NOT_ALLOWED, "method not allowed")
 
-    private fun health(): ApiResponse = if (handlers.healthy()) {
+    private fun healthResponse(): ApiResponse = if (handlers.healthy()) {
         ApiResponse.of(HttpStatus.OK, mapOf("ok" to true))
     } else {
         ApiResponse.retryLater("the state service does not answer")
     }
 
-    private fun metrics() = ApiResponse(HttpStatus.OK, metrics.text().toByteArray(), type = "text/plain")
+    private fun metricsResponse() =
+        ApiResponse(HttpStatus.OK, metrics.render().toByteArray(), contentType = "text/plain")
 
     private fun report(body: ByteArray): ApiResponse = try {
         handlers.reports.report(WorkerWire.decodeReport(body))
@@ -107,21 +112,24 @@
         ApiResponse.error(HttpStatus.BAD_REQUEST, e.message.orEmpty())
     }
 
-    private fun kind(path: String) = when {
-        path.startsWith("/submissions") -> USERS
+    private fun routeName(path: String) = when {
+        path.startsWith("/submissions") -> USER_ROUTE
         path == "/agent/beat" || path == "/healthz" || path == "/metrics" -> path.removePrefix("/")
         else -> "other"
     }
 
     private companion object {
-        const val BODY_LIMIT = 64 * 1024
-        const val USERS = "submissions"
+        const val MAX_BODY_BYTES = 64 * 1024
+        const val USER_ROUTE = "submissions"
 
-        /** `submissions/{id}` and `submissions/{id}/abort`. */
-        const val POLL_PARTS = 2
-        const val CANCEL_PARTS = 3
+        /** Path segments of `submissions/{id}` and of `submissions/{id}/abort`. */
+        const val POLL_SEGMENTS = 2
+        const val CANCEL_SEGMENTS = 3
         val NO_SUCH_PATH = ApiResponse.error(HttpStatus.NOT_FOUND, "no such path")
-        val TOO_LARGE =
-            ApiResponse(HttpStatus.CONTENT_TOO_LARGE, Cbor.encode(mapOf("error" to "body too large")), close = true)
+        val TOO_LARGE = ApiResponse(
+            HttpStatus.CONTENT_TOO_LARGE,
+            Cbor.encode(mapOf("error" to "body too large")),
+            closeConnection = true,
+        )
     }
 }
--- a/src/main/kotlin/topazvale/api/SubmissionApi.kt
+++ b/src/main/kotlin/topazvale/api/SubmissionApi.kt
@@ -22,18 +22,20 @@
 import topazvale.wire.MalformedException
 
 /**
- * Answers users from the state service, so that no controller can say something older than another has said. Only final
- * states, which never change, are answered from memory. Nothing is held back: what cannot be answered gets 503 with
- * `Retry-After` at once.
+ * Submission, polling and cancellation of jobs by users.
  *
- * [served] is false while other controllers get answers of the state service that this one does not get.
+ * Responses are based on reads from the state service, so that no controller reports an older state than another
+ * controller has already reported. Only final states, which never change, are served from memory. Requests are never
+ * queued: a request that cannot be answered gets 503 with `Retry-After` immediately.
+ *
+ * [stateServiceAvailable] is false while other controllers get responses from the state service but this one does not.
  */
 class SubmissionApi(
     private val state: StateService,
     private val admission: JobAdmission,
     private val cancellations: CancellationLog,
     private val clocks: Clocks,
-    private val served: () -> Boolean,
+    private val stateServiceAvailable: () -> Boolean,
 ) {
     private val log = LoggerFactory.getLogger(SubmissionApi::class.java)
     private val taskCounts = TaskCounts(state, clocks)
@@ -44,14 +46,14 @@
         val spec = try {
             JobWire.decodeSubmission(body)
         } catch (e: MalformedException) {
-            log.info("submission refused: {}", e.message)
-            return malformed(body, e)
+            log.info("malformed submission rejected: {}", e.message)
+            return rejectMalformed(body, e)
         }
-        val final = finalStates.known(spec.id)
+        val final = finalStates.cached(spec.id)
         return when {
             final != null -> view(final, spec.id)
-            !served() -> unserved()
-            !admission.ready -> ApiResponse.retryLater("machine types are not known yet")
+            !stateServiceAvailable() -> unavailable()
+            !admission.isReady -> ApiResponse.retryLater("machine types are not known yet")
             else -> admit(spec)
         }
     }
@@ -59,22 +61,22 @@
     /** `GET /submissions/{id}`. */
     suspend fun poll(id: String): ApiResponse {
         if (!JobWire.isJobId(id)) return NO_SUCH_JOB
-        finalStates.known(id)?.let { return view(it, id) }
-        if (!served()) return unserved()
-        // The counts come first: after the job itself nothing is waited for, so that what is said of it is not
-        // overtaken by a cancellation meanwhile.
+        finalStates.cached(id)?.let { return view(it, id) }
+        if (!stateServiceAvailable()) return unavailable()
+        // The counts are read first: the response must follow the read of the job without suspending, as a cancellation
+        // that is confirmed in the meantime would make it stale.
         val counts = taskCounts.of(id)
         return when (val job = state.get(Keys.job(id))) {
-            is Outcome.Ok -> record(job.value)?.let { view(id, it, counts) } ?: UNREADABLE
-            is Outcome.Gone -> final(id, ::view)
-            else -> NO_ANSWER
+            is Outcome.Ok -> decodeRecord(job.value)?.let { view(id, it, counts) } ?: UNREADABLE_RECORD
+            is Outcome.Gone -> finalResponse(id, ::view)
+            else -> NO_RESPONSE
         }
     }
 
     /** `POST /submissions/{id}/abort`. */
     suspend fun cancel(id: String): ApiResponse {
         if (!JobWire.isJobId(id)) return NO_SUCH_JOB
-        if (!served()) return finalStates.known(id)?.let { cancelAnswer(it, id) } ?: unserved()
+        if (!stateServiceAvailable()) return finalStates.cached(id)?.let { cancelResponse(it, id) } ?: unavailable()
         repeat(CANCEL_ATTEMPTS) {
             tryCancel(id)?.let { return it }
         }
@@ -83,7 +85,7 @@
 
     private suspend fun admit(spec: JobSpec): ApiResponse {
         val record = JobRecords.encode(JobRecord(spec, clocks.now(), JobStatus.LIVE))
-        admission.refusal(spec, record)?.let { return refuse(spec.id, it) }
+        admission.rejectionOf(spec, record)?.let { return rejectUnlessKnown(spec.id, it) }
         val commit = state.commit(
             listOf(Condition(Keys.job(spec.id), 0), Condition(Keys.final(spec.id), 0)),
             listOf(Change.Put(Keys.job(spec.id), record)),
@@ -92,67 +94,67 @@
             is Commit.Done -> ApiResponse.of(HttpStatus.CREATED, mapOf("uid" to spec.id, "status" to "queued"))
             is Commit.Failed -> poll(spec.id)
             is Commit.Refused -> OVERLOADED
-            is Commit.Invalid -> refuse(spec.id, JobAdmission.TOO_LARGE)
-            else -> NO_ANSWER
+            is Commit.Invalid -> rejectUnlessKnown(spec.id, JobAdmission.TOO_LARGE)
+            else -> NO_RESPONSE
         }
     }
 
-    /** A job that is known is answered for, whatever a repeated submission of it now says. */
-    private suspend fun malformed(body: ByteArray, cause: MalformedException): ApiResponse {
-        val refusal = Refusal(HttpStatus.BAD_REQUEST, cause.message.orEmpty())
-        return JobWire.decodeJobId(body)?.let { refuse(it, refusal) }
-            ?: ApiResponse.error(refusal.status, refusal.message)
+    /** A malformed resubmission of a known job gets the state of that job. */
+    private suspend fun rejectMalformed(body: ByteArray, cause: MalformedException): ApiResponse {
+        val rejection = Rejection(HttpStatus.BAD_REQUEST, cause.message.orEmpty())
+        return JobWire.decodeJobId(body)?.let { rejectUnlessKnown(it, rejection) }
+            ?: ApiResponse.error(rejection.status, rejection.message)
     }
 
-    /** A job that was accepted stays accepted, even if it would be refused today. */
-    private suspend fun refuse(id: String, refusal: Refusal): ApiResponse {
+    /** An accepted job stays accepted, even if it would be rejected today. */
+    private suspend fun rejectUnlessKnown(id: String, reason: Rejection): ApiResponse {
         val known = poll(id)
-        return if (known.status == HttpStatus.NOT_FOUND) ApiResponse.error(refusal.status, refusal.message) else known
+        return if (known.status == HttpStatus.NOT_FOUND) ApiResponse.error(reason.status, reason.message) else known
     }
 
-    /** Null where the job has changed meanwhile, so that it has to be looked at again. */
+    /** Null if the job changed concurrently and the cancellation must be retried. */
     private suspend fun tryCancel(id: String): ApiResponse? {
-        finalStates.known(id)?.let { return cancelAnswer(it, id) }
+        finalStates.cached(id)?.let { return cancelResponse(it, id) }
         return when (val job = state.get(Keys.job(id))) {
-            is Outcome.Ok -> record(job.value)?.let { cancelLive(id, it, job.value.version) ?: return null }
-                ?: UNREADABLE
+            is Outcome.Ok -> decodeRecord(job.value)?.let { cancelLive(id, it, job.value.version) ?: return null }
+                ?: UNREADABLE_RECORD
 
-            is Outcome.Gone -> final(id, ::cancelAnswer)
+            is Outcome.Gone -> finalResponse(id, ::cancelResponse)
 
-            else -> NO_ANSWER
+            else -> NO_RESPONSE
         }
     }
 
     private suspend fun cancelLive(id: String, record: JobRecord, version: Long): ApiResponse? {
-        if (record.status == JobStatus.CANCELLED) return cancelled(id)
+        if (record.status == JobStatus.CANCELLED) return confirmCancellation(id)
         cancellations.requested(id)
         val commit = state.commit(
             listOf(Condition(Keys.job(id), version)),
             listOf(Change.Put(Keys.job(id), admission.cancelledRecord(record))),
         )
-        // Only where the transaction was certainly not carried out is the cancellation taken off the log again.
+        // The log entry is removed only if the transaction was definitely not carried out.
         if (commit is Commit.Failed || commit is Commit.Refused) cancellations.withdrawn(id)
         return when (commit) {
-            is Commit.Done -> cancelled(id)
+            is Commit.Done -> confirmCancellation(id)
             is Commit.Failed -> null
             is Commit.Refused -> OVERLOADED
-            else -> NO_ANSWER
+            else -> NO_RESPONSE
         }
     }
 
-    private fun cancelled(id: String): ApiResponse {
+    private fun confirmCancellation(id: String): ApiResponse {
         cancellations.confirmed(id)
-        return cancelAnswer(JobStatus.CANCELLED, id)
+        return cancelResponse(JobStatus.CANCELLED, id)
     }
 
-    private suspend fun final(id: String, answer: (JobStatus, String) -> ApiResponse): ApiResponse =
-        when (val status = finalStates.read(id)) {
-            is Outcome.Ok -> answer(status.value, id)
+    private suspend fun finalResponse(id: String, respond: (JobStatus, String) -> ApiResponse): ApiResponse =
+        when (val status = finalStates.fetch(id)) {
+            is Outcome.Ok -> respond(status.value, id)
             is Outcome.Gone -> NO_SUCH_JOB
-            else -> NO_ANSWER
+            else -> NO_RESPONSE
         }
 
-    private fun record(entry: Entry): JobRecord? = Records.readOrNull(entry.key, entry.data, JobRecords::decode)
+    private fun decodeRecord(entry: Entry): JobRecord? = Records.readOrNull(entry.key, entry.data, JobRecords::decode)
 
     private fun view(id: String, record: JobRecord, counts: TaskCountRecord?): ApiResponse {
         if (record.status == JobStatus.CANCELLED) {
@@ -168,19 +170,19 @@
     private fun view(status: JobStatus, id: String) =
         ApiResponse.of(HttpStatus.OK, JobWire.encodeStatus(JobView(id, status, done = 0, running = 0)))
 
-    private fun cancelAnswer(status: JobStatus, id: String) =
+    private fun cancelResponse(status: JobStatus, id: String) =
         ApiResponse.of(HttpStatus.OK, JobWire.encodeCancellation(JobView(id, status, done = 0, running = 0)))
 
     private companion object {
         const val CANCEL_ATTEMPTS = 4
         val NO_SUCH_JOB = ApiResponse.error(HttpStatus.NOT_FOUND, "no such job")
-        val NO_ANSWER = ApiResponse.retryLater("no word from the state service")
+        val NO_RESPONSE = ApiResponse.retryLater("no word from the state service")
         val OVERLOADED = ApiResponse.retryLater("too much is asked at the moment")
 
-        /** The job is there, so that a user must not hear that it is not; another controller may be able to read it. */
-        val UNREADABLE = ApiResponse.retryLater("the job's record cannot be read")
+        /** The job exists, so 404 would be wrong; another controller may be able to read its record. */
+        val UNREADABLE_RECORD = ApiResponse.retryLater("the job's record cannot be read")
 
-        /** A call would only run into its time limit: the user is told at once, and sent elsewhere. */
-        fun unserved() = ApiResponse.retryLater("no word from the state service", close = true)
+        /** A call to the state service would only time out: the user gets 503 at once and is sent to another node. */
+        fun unavailable() = ApiResponse.retryLater("no word from the state service", closeConnection = true)
     }
 }
--- a/src/main/kotlin/topazvale/api/TaskCounts.kt
+++ b/src/main/kotlin/topazvale/api/TaskCounts.kt
@@ -11,44 +11,47 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Task counts for polls. They are only looked at and may lag, so that those of all jobs are read together now and then:
- * a read for each poll would double what polls ask of the state service.
+ * Task counts for polls. They are for display only and may lag, so the counts of all jobs are read together and cached:
+ * a read for each poll would double the requests that polls make to the state service.
  */
 class TaskCounts(private val state: StateService, private val clocks: Clocks) {
     private var counts: Map<String, TaskCountRecord> = emptyMap()
-    private var read: ComparableTimeMark? = null
-    private var reading = false
+    private var refreshStartedAt: ComparableTimeMark? = null
+    private var refreshing = false
 
-    /** The counts of a job, as last read; null where there are none. */
+    /** The most recently read counts of a job; null if it has none. */
     suspend fun of(id: String): TaskCountRecord? {
-        if (!reading && read?.let { it.elapsedNow() < FRESH } != true) refresh()
+        if (!refreshing && refreshStartedAt?.let { it.elapsedNow() < MAX_AGE } != true) refresh()
         return counts[id]
     }
 
-    /** One listing at a time, or one begun earlier and slow page by page would replace a later one's counts. */
+    /**
+     * Runs at most one listing at a time. Otherwise a slow listing that started earlier could replace the counts of a
+     * later one with older values.
+     */
     private suspend fun refresh() {
-        // Marked first: whoever asks meanwhile takes what is here.
-        read = clocks.mark()
-        reading = true
+        // Set before the read, so that polls arriving during it use the cached counts.
+        refreshStartedAt = clocks.mark()
+        refreshing = true
         try {
-            readAll()
+            loadAll()
         } finally {
-            reading = false
+            refreshing = false
         }
     }
 
-    private suspend fun readAll() {
-        val found = state.listAll(Keys.TASK_COUNTS)
-        if (found !is Outcome.Ok) return
-        val fresh = HashMap<String, TaskCountRecord>()
-        for (entry in found.value.entries) {
+    private suspend fun loadAll() {
+        val listed = state.listAll(Keys.TASK_COUNTS)
+        if (listed !is Outcome.Ok) return
+        val latest = HashMap<String, TaskCountRecord>()
+        for (entry in listed.value.entries) {
             val record = Records.readOrNull(entry.key, entry.data, TaskCountRecord::decode) ?: continue
-            fresh[entry.key.removePrefix(Keys.TASK_COUNTS)] = record
+            latest[entry.key.removePrefix(Keys.TASK_COUNTS)] = record
         }
-        counts = fresh
+        counts = latest
     }
 
     private companion object {
-        val FRESH = 3.seconds
+        val MAX_AGE = 3.seconds
     }
 }
--- a/src/main/kotlin/topazvale/cli/DryRun.kt
+++ b/src/main/kotlin/topazvale/cli/DryRun.kt
@@ -13,8 +13,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Starts a node on loopback, asks it a few things and ends. The build runs this to learn which classes a start needs,
- * and archives them: a third of a starting process's time would go into loading them one by one.
+ * Starts a node on loopback, sends it a few requests and exits. The build runs this to record the classes that a start
+ * loads, and stores them in a class data archive: loading them one by one takes a third of the start-up time.
  */
 @Command(
     name = "rehearse",
@@ -37,7 +37,7 @@
         return 0
     }
 
-    /** What only a leader needs is not reached without a state service. */
+    /** Also loads the classes that only a leader uses: without a state service the node never becomes one. */
     private fun loadOwnClasses() {
         val source = DryRun::class.java.protectionDomain.codeSource.location
         if (!source.path.endsWith(".jar")) return
@@ -48,16 +48,16 @@
     }
 
     private companion object {
-        val LIMIT = 5.seconds
+        val TIMEOUT = 5.seconds
         val requests = listOf(
-            Call(HttpMethod.GET, "/healthz", null, LIMIT),
-            Call(HttpMethod.POST, "/submissions", Cbor.encode(mapOf("uid" to "job-0")), LIMIT),
-            Call(HttpMethod.GET, "/submissions/job-0", null, LIMIT),
-            Call(HttpMethod.POST, "/agent/beat", Cbor.encode(mapOf("host" to "n-0")), LIMIT),
-            Call(HttpMethod.GET, "/metrics", null, LIMIT),
+            Call(HttpMethod.GET, "/healthz", null, TIMEOUT),
+            Call(HttpMethod.POST, "/submissions", Cbor.encode(mapOf("uid" to "job-0")), TIMEOUT),
+            Call(HttpMethod.GET, "/submissions/job-0", null, TIMEOUT),
+            Call(HttpMethod.POST, "/agent/beat", Cbor.encode(mapOf("host" to "n-0")), TIMEOUT),
+            Call(HttpMethod.GET, "/metrics", null, TIMEOUT),
         )
 
-        /** Nothing listens where the outside services should be. */
+        /** The addresses of the state service and the cloud have no listener. */
         val SETTINGS = """
             member = "rehearsal"
             area = "here"
--- a/src/main/kotlin/topazvale/cli/Main.kt
+++ b/src/main/kotlin/topazvale/cli/Main.kt
@@ -23,7 +23,7 @@
 import java.util.concurrent.CountDownLatch
 import kotlin.system.exitProcess
 
-/** The program: runs a controller until the process is killed. */
+/** The main command: runs a controller until the process is killed. */
 @Command(
     name = "topazvale",
     mixinStandardHelpOptions = true,
@@ -43,7 +43,7 @@
 
     override fun call(): Int {
         val path = config ?: throw CommandLine.ParameterException(spec.commandLine(), "--config is needed")
-        val settings = loadSettings(path, tuning) ?: return BAD_SETTINGS
+        val settings = loadSettings(path, tuning) ?: return INVALID_SETTINGS_STATUS
         val vertx = smallVertx()
         val node = httpNode(vertx, settings)
         runBlocking { node.start() }
@@ -53,7 +53,7 @@
     }
 }
 
-/** Checks settings files and says what is wrong with them. */
+/** Validates settings files and reports the first error. */
 @Command(name = "check", mixinStandardHelpOptions = true, description = ["Checks settings files without starting."])
 class Check : Callable<Int> {
     @Parameters(index = "0", paramLabel = "FILE", description = ["The platform's settings file."])
@@ -63,13 +63,13 @@
     var tuning: Path? = null
 
     override fun call(): Int {
-        val settings = loadSettings(config, tuning) ?: return BAD_SETTINGS
+        val settings = loadSettings(config, tuning) ?: return INVALID_SETTINGS_STATUS
         println("${settings.member}: ${settings.teams.size} teams, ${settings.peers.size} peers; all in order")
         return 0
     }
 }
 
-private const val BAD_SETTINGS = 2
+private const val INVALID_SETTINGS_STATUS = 2
 
 private fun loadSettings(path: Path, tuning: Path?): Settings? = try {
     val settings = Settings.load(path)
@@ -79,21 +79,21 @@
     null
 }
 
-/** One event loop and the fewest workers: the process has a fifth of a core. */
+/** A Vert.x instance with one event loop and minimal worker pools: the process has a fifth of a core. */
 internal fun smallVertx(): Vertx = Vertx.vertx(
     VertxOptions()
         .setEventLoopPoolSize(1)
         .setWorkerPoolSize(1)
         .setInternalBlockingPoolSize(1)
         .setPreferNativeTransport(false)
-        // A small share of a core makes an event loop look blocked.
+        // On a small share of a core the event loop can look blocked although it is not.
         .setBlockedThreadCheckInterval(BLOCKED_CHECK_MS)
         .setFileSystemOptions(FileSystemOptions().setFileCachingEnabled(false).setClassPathResolvingEnabled(false)),
 )
 
-/** A node whose outside services are reached over HTTP. */
+/** A node that uses the state service, the cloud and the workers over HTTP. */
 internal fun httpNode(vertx: Vertx, settings: Settings): Node {
-    // Each peer asks us and is asked by us.
+    // One connection to each peer and one from each peer.
     val sockets = Sockets(settings.maxConnections, fixedConnections = SERVICE_SOCKETS + 2 * settings.peers.size)
     val services = ServiceClients(
         HttpStateService(vertx, settings.state, settings.stateLimits, settings.initialSize),
@@ -105,15 +105,15 @@
 
 private const val BLOCKED_CHECK_MS = 60_000L
 
-/** Those of the state service's and the cloud's clients, and the two that listen, with some to spare. */
+/** The sockets of the state service client, the cloud client and the two servers, with a reserve. */
 private const val SERVICE_SOCKETS = 20
 
-/** Sets up logging and runs the command that the arguments name. */
+/** Configures logging and runs the command given by the arguments. */
 fun main(args: Array<String>) {
-    // Read by the logging library when the first logger is made.
+    // The logging library reads these when the first logger is created.
     System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", System.getenv("LOG_LEVEL") ?: "info")
     System.setProperty("org.slf4j.simpleLogger.showDateTime", "true")
     System.setProperty("org.slf4j.simpleLogger.log.io", "warn")
-    @Suppress("SpreadOperator") // The library takes them so; it is done once.
+    @Suppress("SpreadOperator") // Required by the library, and done only once.
     exitProcess(CommandLine(Topazvale()).execute(*args))
 }
--- a/src/main/kotlin/topazvale/config/Settings.kt
+++ b/src/main/kotlin/topazvale/config/Settings.kt
@@ -18,10 +18,10 @@
     override fun toString() = "$host:$port"
 }
 
-/** A controller of the cluster, and where its peers reach it. */
+/** A controller of the cluster, with the address at which its peers reach it. */
 data class Peer(val member: String, val zone: String, val address: Address)
 
-/** How workers behave. */
+/** Timing of the protocol with the workers. */
 data class WorkerLimits(
     val reportInterval: Duration,
     val lease: Duration,
@@ -30,10 +30,10 @@
     val cancelLimit: Duration,
 )
 
-/** What the state service takes: requests and changes a second, bytes a value, changes a transaction. */
+/** Limits of the state service: requests and changes per second, bytes per value, changes per transaction. */
 data class StateLimits(val rps: Double, val writeRps: Double, val valueBytes: Int, val opsPerTransaction: Int) {
-    /** What keeps within both. */
-    fun within(other: StateLimits) = StateLimits(
+    /** The lower of both values for each limit. */
+    fun lowerOfBoth(other: StateLimits) = StateLimits(
         minOf(rps, other.rps),
         minOf(writeRps, other.writeRps),
         minOf(valueBytes, other.valueBytes),
@@ -41,10 +41,10 @@
     )
 }
 
-/** What the cloud takes, and by how much its machine list lags. */
+/** The request rate limit of the cloud, and the delay of its machine list. */
 data class CloudLimits(val rps: Double, val listLag: Duration)
 
-/** What the platform hands over. */
+/** The settings that the platform provides. */
 data class Settings(
     val member: String,
     val zone: String,
@@ -56,7 +56,7 @@
     val initialSize: Int,
     val clockError: Duration,
     val teams: Map<String, Team>,
-    /** By class. */
+    /** By queue. */
     val objectives: Map<String, List<Objective>>,
     val workers: WorkerLimits,
     val stateLimits: StateLimits,
@@ -74,21 +74,21 @@
         }
 
         fun parse(text: String, tuning: Tuning = Tuning()): Settings {
-            val top = Table.parse(text)
-            val deployment = top.subTable("deployment")
+            val root = Table.parse(text)
+            val deployment = root.subTable("deployment")
             val workers = deployment.subTable("workers")
             val state = deployment.subTable("state")
             val cloud = deployment.subTable("cloud")
             return Settings(
-                member = top.text("member"),
-                zone = top.text("area"),
-                bind = top.address("bind"),
-                mesh = top.address("mesh_addr"),
-                peers = top.tables("seeds").map { Peer(it.text("member"), it.text("area"), it.address("address")) },
-                cloud = top.subTable("outside").address("cloud"),
-                state = top.subTable("outside").address("state"),
+                member = root.text("member"),
+                zone = root.text("area"),
+                bind = root.address("bind"),
+                mesh = root.address("mesh_addr"),
+                peers = root.tables("seeds").map { Peer(it.text("member"), it.text("area"), it.address("address")) },
+                cloud = root.subTable("outside").address("cloud"),
+                state = root.subTable("outside").address("state"),
                 initialSize = deployment.positive("initial_size").toInt(),
-                clockError = deployment.amount("clock_error_ms").milliseconds,
+                clockError = deployment.nonNegative("clock_error_ms").milliseconds,
                 teams = deployment.tables("teams").map(::team).associateBy { it.name },
                 objectives = deployment.tables("objectives").mapNotNull(::objective).groupBy { it.queue },
                 workers = WorkerLimits(
@@ -100,60 +100,60 @@
                 ),
                 stateLimits = stateLimits(state),
                 maxConnections = deployment.subTable("resources").positive("max_connections").toInt(),
-                cloudLimits = CloudLimits(cloud.positive("rps"), cloud.amount("list_lag_s").seconds),
+                cloudLimits = CloudLimits(cloud.positive("rps"), cloud.nonNegative("list_lag_s").seconds),
                 tuning = tuning,
             )
         }
 
         /**
-         * The service may change to its next limits at any moment and without notice: what is written keeps within the
-         * smaller of both from the start.
+         * The state service may switch to its next limits at any time without notice, so the lower of both limits
+         * applies from the start.
          */
         private fun stateLimits(state: Table): StateLimits {
-            val now = limits(state, state.positive("rps"))
-            val next = if (state.has("next")) state.subTable("next") else return now
-            return now.within(limits(next, if (next.has("rps")) next.positive("rps") else now.rps))
+            val current = limits(state, state.positive("rps"))
+            val next = if (state.has("next")) state.subTable("next") else return current
+            return current.lowerOfBoth(limits(next, if (next.has("rps")) next.positive("rps") else current.rps))
         }
 
-        private fun limits(t: Table, rps: Double) = StateLimits(
+        private fun limits(table: Table, rps: Double) = StateLimits(
             rps = rps,
-            writeRps = t.positive("write_rps"),
-            valueBytes = (t.positive("value_kb") * 1024).toInt().also {
+            writeRps = table.positive("write_rps"),
+            valueBytes = (table.positive("value_kb") * 1024).toInt().also {
                 if (it <
-                    LEAST_VALUE
+                    MIN_VALUE_BYTES
                 ) {
-                    t.bad("value_kb", "at least 1")
+                    table.reject("value_kb", "at least 1")
                 }
             },
-            opsPerTransaction = t.positive("txn_ops").toInt().also {
-                if (it < LEAST_OPS) t.bad("txn_ops", "at least $LEAST_OPS")
+            opsPerTransaction = table.positive("txn_ops").toInt().also {
+                if (it < MIN_OPS_PER_TRANSACTION) table.reject("txn_ops", "at least $MIN_OPS_PER_TRANSACTION")
             },
         )
 
-        /** The end of a job takes a removal and a write, and one of what goes with it. */
-        private const val LEAST_OPS = 3
-        private const val LEAST_VALUE = 1024
+        /** Finalizing a job takes a delete, a put and at least one change of a related record. */
+        private const val MIN_OPS_PER_TRANSACTION = 3
+        private const val MIN_VALUE_BYTES = 1024
 
-        /** Kinds that may come later say nothing to us. */
-        private fun objective(t: Table): Objective? {
-            val promise = promises[t.text("kind")] ?: return null
-            val within = if (promise == ObjectiveKind.DEADLINE) Duration.ZERO else t.positive("within_s").seconds
-            return Objective(t.text("class"), promise, within, t.amountOr("times", 1.0))
+        /** Null for an unknown kind, which a later version of the platform may add. */
+        private fun objective(table: Table): Objective? {
+            val kind = objectiveKinds[table.text("kind")] ?: return null
+            val within = if (kind == ObjectiveKind.DEADLINE) Duration.ZERO else table.positive("within_s").seconds
+            return Objective(table.text("class"), kind, within, table.nonNegativeOr("times", 1.0))
         }
 
-        private val promises =
+        private val objectiveKinds =
             mapOf(
                 "wait" to ObjectiveKind.STARTED,
                 "finished" to ObjectiveKind.FINISHED,
                 "deadline" to ObjectiveKind.DEADLINE,
             )
 
-        private fun team(t: Table): Team {
-            val cpusMax = t.amount("cpus_max")
-            val gpusMax = t.amount("gpus_max")
+        private fun team(table: Table): Team {
+            val cpusMax = table.nonNegative("cpus_max")
+            val gpusMax = table.nonNegative("gpus_max")
             return Team(
-                name = t.text("name"),
-                guaranteed = Resources(t.amount("cpus"), t.amount("gpus"), 0.0),
+                name = table.text("name"),
+                guaranteed = Resources(table.nonNegative("cpus"), table.nonNegative("gpus"), 0.0),
                 limitCpus = cpusMax.takeIf { it > 0.0 },
                 limitGpus = gpusMax.takeIf { it > 0.0 },
             )
--- a/src/main/kotlin/topazvale/leader/Election.kt
+++ b/src/main/kotlin/topazvale/leader/Election.kt
@@ -19,53 +19,54 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** A leadership term. Its token is the revision at which the leader key was taken, so that tokens always rise. */
+/** A leadership term. Its fencing token is the revision of the write of the leader key, so tokens always increase. */
 class Term(val token: Long, val lease: Long, private val ttl: Duration, clocks: Clocks) {
-    /** When the last renewal that succeeded was sent. */
+    /** When the last successful renewal was sent. */
     var lastRenewedAt: ComparableTimeMark = clocks.mark()
         private set
     var ended = false
         private set
 
     /**
-     * Whether the lease cannot have ended yet. What the state service does not fence, renting and returning machines
-     * above all, is done only while this holds: a leader cut off from the state service sees all workers move to
-     * its successor, and must not take it for dead.
+     * Whether the lease cannot have expired yet. Actions that the state service does not fence, above all renting and
+     * returning machines, are allowed only while this holds: a leader that is cut off from the state service sees all
+     * workers move to its successor, and must not mistake them for dead.
      */
-    val holdsLease: Boolean get() = !ended && lastRenewedAt.elapsedNow() < ttl - MARGIN
+    val holdsLease: Boolean get() = !ended && lastRenewedAt.elapsedNow() < ttl - EXPIRY_MARGIN
 
-    /** A renewal that was sent then has succeeded. */
+    /** Records a successful renewal that was sent at [sentAt]. */
     fun recordRenewal(sentAt: ComparableTimeMark) {
         if (sentAt > lastRenewedAt) lastRenewedAt = sentAt
     }
 
-    /** Nothing more is done in this term; the election gives the key up. */
+    /** Ends the term; the election then deletes the leader key. */
     fun end() {
         ended = true
     }
 
     private companion object {
-        val MARGIN = 200.milliseconds
+        val EXPIRY_MARGIN = 200.milliseconds
     }
 }
 
-/** Who stands for election: the member's name, and what tells one life of its process from the next. */
+/** A candidate: the name of the member, and the incarnation that distinguishes its process from earlier ones. */
 class Candidate(val member: String, val incarnation: String)
 
-/** Told of the terms of this process, on the event loop. */
+/** Notified on the event loop when a leadership term of this process begins or ends. */
 interface TermListener {
-    /** This process leads from now on. */
+    /** This process has become the leader. */
     fun termBegan(term: Term)
 
-    /** The term is over; another may begin. */
+    /** The term has ended; another one may begin. */
     fun termEnded(term: Term)
 }
 
 /**
- * Takes the leader key when nobody holds it and keeps it by renewing its lease.
+ * Leader election: writes the leader key when no member holds it, and keeps it by renewing its lease.
  *
- * A node that finds its own name in the key takes over at once: one process at a time runs under a name, so that the
- * former one is dead, and whatever it sent depends on the key's old version.
+ * A node that finds its own name in the key campaigns at once, without waiting for the lease to expire. Only one
+ * process at a time runs under a name, so the previous one is dead, and every write that it sent is conditional on the
+ * old version of the key.
  */
 class Election(
     private val state: StateService,
@@ -77,124 +78,125 @@
 ) {
     private val log = LoggerFactory.getLogger(Election::class.java)
 
-    /** Who held the key when it was last read. */
+    /** The member that held the key when it was last read. */
     var leader: String? = null
         private set
     var term: Term? = null
         private set
 
-    /** The token of the last term of this process, or 0. */
+    /** The fencing token of the last term of this process, or 0. */
     var highestToken = 0L
         private set
 
-    /** After a term that ended by itself others go first. */
-    private var abstain: ComparableTimeMark? = null
+    /** Campaign backoff after a term of this process has ended, so that other members campaign first. */
+    private var campaignBackoffUntil: ComparableTimeMark? = null
 
-    /** Follows, campaigns and leads in turn until its scope ends. */
+    /** Follows, campaigns and renews the lease in turn until its scope ends. */
     suspend fun run() {
         while (true) {
             val current = term
-            if (current != null) serve(current) else follow()
+            if (current != null) renewUntilEnded(current) else followOrCampaign()
         }
     }
 
-    private suspend fun follow() {
-        when (val found = state.get(Keys.LEADER)) {
+    private suspend fun followOrCampaign() {
+        when (val result = state.get(Keys.LEADER)) {
             is Outcome.Ok -> {
-                // Whoever wrote what cannot be read holds the key: its lease ends, or it does not.
-                val holder = record(found.value)
+                // The writer of an unreadable record holds the key like any other member, until its lease expires.
+                val holder = decodeRecord(result.value)
                 when {
-                    holder?.member != candidate.member -> await(holder, found.value)
-                    abstain?.hasPassedNow() == false -> delay(RETRY)
-                    else -> campaign(found.value)
+                    holder?.member != candidate.member -> awaitChange(holder, result.value)
+                    campaignBackoffUntil?.hasPassedNow() == false -> delay(RETRY_DELAY)
+                    else -> campaign(result.value)
                 }
             }
 
             is Outcome.Gone -> {
                 leader = null
-                if (abstain?.hasPassedNow() == false) delay(RETRY) else campaign(null)
+                if (campaignBackoffUntil?.hasPassedNow() == false) delay(RETRY_DELAY) else campaign(null)
             }
 
-            else -> delay(RETRY)
+            else -> delay(RETRY_DELAY)
         }
     }
 
-    private fun record(entry: Entry): LeaderRecord? = Records.readOrNull(entry.key, entry.data, LeaderRecord::decode)
+    private fun decodeRecord(entry: Entry): LeaderRecord? =
+        Records.readOrNull(entry.key, entry.data, LeaderRecord::decode)
 
-    private suspend fun await(holder: LeaderRecord?, entry: Entry) {
+    private suspend fun awaitChange(holder: LeaderRecord?, entry: Entry) {
         leader = holder?.member
-        when (val seen = state.watch(Keys.LEADER, entry.version, WATCH)) {
-            is Outcome.Ok -> if (seen.value.events.lastOrNull()?.data == null &&
-                seen.value.events.isNotEmpty()
+        when (val watched = state.watch(Keys.LEADER, entry.version, WATCH_TIMEOUT)) {
+            is Outcome.Ok -> if (watched.value.events.lastOrNull()?.data == null &&
+                watched.value.events.isNotEmpty()
             ) {
                 leader = null
             }
 
-            else -> delay(RETRY)
+            else -> delay(RETRY_DELAY)
         }
     }
 
-    private suspend fun campaign(former: Entry?) {
-        val sent = clocks.mark()
+    private suspend fun campaign(previous: Entry?) {
+        val sentAt = clocks.mark()
         val lease = when (val granted = state.grant(ttl)) {
             is Outcome.Ok -> granted.value
-            else -> return delay(RETRY)
+            else -> return delay(RETRY_DELAY)
         }
         val record = LeaderRecord(candidate.member, candidate.incarnation)
         val commit = state.commit(
-            listOf(Condition(Keys.LEADER, former?.version ?: 0)),
+            listOf(Condition(Keys.LEADER, previous?.version ?: 0)),
             listOf(Change.Put(Keys.LEADER, record.encode(), lease)),
             urgent = true,
         )
         val token = when (commit) {
             is Commit.Done -> commit.revision
 
-            // The outcome is in the key itself. It must hang on this lease: an earlier campaign of this process, or its
-            // former term, leaves the same record there, and with it a token or a lease that is not this one's.
+            // The key itself shows the outcome. It must be attached to this lease: an earlier campaign or term of this
+            // process leaves the same record there, with another token or another lease.
             is Commit.Unknown -> (state.get(Keys.LEADER) as? Outcome.Ok)?.value
-                ?.takeIf { record(it) == record && it.lease == lease }?.version
+                ?.takeIf { decodeRecord(it) == record && it.lease == lease }?.version
 
             else -> null
         }
-        if (token == null) return delay(RETRY)
+        if (token == null) return delay(RETRY_DELAY)
         log.atInfo().addKeyValue("member", candidate.member).addKeyValue("token", token).addKeyValue("lease", lease)
-            .addKeyValue("askedAgo", sent.elapsedNow()).log("term_began")
+            .addKeyValue("askedAgo", sentAt.elapsedNow()).log("term_began")
         leader = candidate.member
-        val won = Term(token, lease, ttl, clocks).also { it.recordRenewal(sent) }
-        term = won
+        val newTerm = Term(token, lease, ttl, clocks).also { it.recordRenewal(sentAt) }
+        term = newTerm
         highestToken = token
-        listener.termBegan(won)
+        listener.termBegan(newTerm)
     }
 
-    private suspend fun serve(current: Term) {
+    private suspend fun renewUntilEnded(current: Term) {
         while (!current.ended) {
-            val sent = clocks.mark()
+            val sentAt = clocks.mark()
             when (state.renew(current.lease)) {
-                is Outcome.Ok -> current.recordRenewal(sent)
+                is Outcome.Ok -> current.recordRenewal(sentAt)
 
                 is Outcome.Gone -> current.end()
 
                 else -> {
-                    delay(RETRY)
+                    delay(RETRY_DELAY)
                     continue
                 }
             }
-            if (!current.ended) delay(ttl / RENEWALS)
+            if (!current.ended) delay(ttl / RENEWALS_PER_TTL)
         }
         log.atInfo().addKeyValue("member", candidate.member).addKeyValue("token", current.token)
             .addKeyValue("renewedAgo", current.lastRenewedAt.elapsedNow()).log("term_ended")
         term = null
         leader = null
         listener.termEnded(current)
-        abstain = clocks.mark() + ttl * TERMS_ABSTAINED
-        // Whoever comes next need not wait for the lease to end.
+        campaignBackoffUntil = clocks.mark() + ttl * BACKOFF_TTLS
+        // The successor does not have to wait for the lease to expire.
         state.commit(listOf(Condition(Keys.LEADER, current.token)), listOf(Change.Delete(Keys.LEADER)), urgent = true)
     }
 
-    /** Runs the election in its scope. */
+    /** Starts the election loop in its scope. */
     fun start(): Job = scope.launchForever("election") { runUntilFailure() }
 
-    /** A term whose beginning or renewal failed may lack what belongs to it: it ends before the election goes on. */
+    /** Ends the term if starting or renewing it fails: the term may be incomplete. The loop then restarts. */
     private suspend fun runUntilFailure() {
         try {
             run()
@@ -204,9 +206,9 @@
     }
 
     private companion object {
-        const val RENEWALS = 4
-        const val TERMS_ABSTAINED = 2
-        val RETRY = 200.milliseconds
-        val WATCH = 5.seconds
+        const val RENEWALS_PER_TTL = 4
+        const val BACKOFF_TTLS = 2
+        val RETRY_DELAY = 200.milliseconds
+        val WATCH_TIMEOUT = 5.seconds
     }
 }
--- a/src/main/kotlin/topazvale/mesh/CancellationLog.kt
+++ b/src/main/kotlin/topazvale/mesh/CancellationLog.kt
@@ -5,40 +5,46 @@
 import kotlin.time.Duration
 
 /**
- * The cancellations that this node has told users of, or has asked the state service for without learning the outcome.
+ * The cancellations that this controller has confirmed to users, or has requested from the state service without
+ * learning the outcome.
  *
- * A leader that the state service refuses cannot learn of them there, while the tasks have to be gone in time all the
- * same: the nodes tell one another. After [window] they matter no more, as the tasks must be gone by then. Of more than
- * [most] the oldest are left out, and what is left is complete for a shorter time.
+ * A leader without access to the state service cannot read them there, yet it must stop the tasks in time. The
+ * controllers therefore exchange these logs. An entry expires after [window], as the tasks must be gone by then. If
+ * there are more than [maxEntries], the oldest are dropped and the log is complete for a shorter time.
  */
-class CancellationLog(private val window: Duration, private val clocks: Clocks, private val most: Int = MOST) {
-    private class Entry(val at: ComparableTimeMark, val told: Boolean)
+class CancellationLog(
+    private val window: Duration,
+    private val clocks: Clocks,
+    private val maxEntries: Int = MAX_ENTRIES,
+) {
+    private class Entry(val recordedAt: ComparableTimeMark, val confirmed: Boolean)
 
-    /** In the order of their times. */
+    /** By job, oldest first. */
     private val entries = LinkedHashMap<String, Entry>()
 
-    /** Since when nothing is missing. */
-    private var complete: ComparableTimeMark = clocks.mark()
+    /** The log holds every cancellation recorded since then. */
+    private var completeSince: ComparableTimeMark = clocks.mark()
 
+    /** The jobs whose cancellation is confirmed, or may have been carried out. */
     val ids: Set<String> get() = prune().let { entries.keys.toSet() }
 
-    /** For how long [ids] has been complete. */
-    val completeFor: Duration get() = complete.elapsedNow().coerceAtMost(window)
+    /** The length of the most recent period in which no cancellation is missing from [ids]. */
+    val completeFor: Duration get() = completeSince.elapsedNow().coerceAtMost(window)
 
-    /** A user has been told, or is about to be. */
+    /** The cancellation has been confirmed to a user, or is about to be. */
     fun confirmed(id: String) = add(id, true)
 
-    /** The state service is being asked: from now on the cancellation may be carried out. */
-    fun requested(id: String) = add(id, entries[id]?.told ?: false)
+    /** The cancellation is being written to the state service: from now on it may be carried out. */
+    fun requested(id: String) = add(id, entries[id]?.confirmed ?: false)
 
-    /** What was asked has certainly not been carried out. */
+    /** The requested cancellation has definitely not been carried out. */
     fun withdrawn(id: String) {
-        if (entries[id]?.told == false) entries.remove(id)
+        if (entries[id]?.confirmed == false) entries.remove(id)
     }
 
-    private fun add(id: String, told: Boolean) {
+    private fun add(id: String, confirmed: Boolean) {
         entries.remove(id)
-        entries[id] = Entry(clocks.mark(), told)
+        entries[id] = Entry(clocks.mark(), confirmed)
         prune()
     }
 
@@ -46,14 +52,14 @@
         val oldest = entries.values.iterator()
         while (oldest.hasNext()) {
             val entry = oldest.next()
-            if (entries.size <= most && entry.at.elapsedNow() <= window) return
-            if (entries.size > most) complete = maxOf(complete, entry.at)
+            if (entries.size <= maxEntries && entry.recordedAt.elapsedNow() <= window) return
+            if (entries.size > maxEntries) completeSince = maxOf(completeSince, entry.recordedAt)
             oldest.remove()
         }
     }
 
     private companion object {
-        /** A word with all of them stays within some ten kilobytes. */
-        const val MOST = 800
+        /** Keeps a peer status with all entries within about 10 kB. */
+        const val MAX_ENTRIES = 800
     }
 }
--- a/src/main/kotlin/topazvale/mesh/CancellationTracker.kt
+++ b/src/main/kotlin/topazvale/mesh/CancellationTracker.kt
@@ -6,39 +6,45 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * What this controller knows of cancellations that any controller has told a user of. A leader that the state service
- * refuses depends on it: tasks of cancelled jobs have to be gone within [cancelLimit] all the same.
+ * The cancellations that any controller has confirmed to a user, as far as this controller knows them. A leader
+ * without access to the state service depends on them: it must still stop the tasks of cancelled jobs within
+ * [cancelLimit].
  */
 class CancellationTracker(cancelLimit: Duration, private val peers: Peers, clocks: Clocks) {
-    /** For how long a cancellation matters: its tasks must be gone by then. */
-    private val window = cancelLimit + LATE_COMMIT_MARGIN
-    private var known: ComparableTimeMark = clocks.mark()
+    /** For how long a cancellation is relevant: its tasks must be gone by then. */
+    private val window = cancelLimit + DELAYED_COMMIT_MARGIN
+    private var knownCompleteUntil: ComparableTimeMark = clocks.mark()
 
-    /** The cancellations of this controller's own users. */
+    /** The cancellations that this controller has requested or confirmed. */
     val log = CancellationLog(window, clocks)
 
     /**
-     * The jobs that users have been told are cancelled, or may have been, by any controller that can be reached. The
-     * status of a peer that is gone counts no longer than the peer itself would list it: what it asked for in vain must
-     * not be stopped for ever.
+     * The jobs whose cancellation is confirmed to a user, or may be, by any reachable controller. The last status of an
+     * unreachable peer is used only for as long as the peer itself would list its entries: a job whose cancellation
+     * failed must not be stopped for ever.
      */
     fun reportedJobs(): Set<String> {
-        val reported = HashSet(log.ids)
-        for (received in peers.all) {
-            if (received != null && received.came.elapsedNow() < window) reported += received.status.cancelledJobs
+        val jobs = HashSet(log.ids)
+        for (received in peers.latestStatuses) {
+            if (received != null && received.receivedAt.elapsedNow() < window) jobs += received.status.cancelledJobs
         }
-        return reported
+        return jobs
     }
 
-    /** Up to when all cancellations are known, where [own] is up to when the state service has told of them. */
-    fun completeUntil(own: ComparableTimeMark): ComparableTimeMark {
-        known = maxOf(known, own)
-        cancellationsCompleteUntil(peers.all, known)?.let { known = maxOf(known, it) }
-        return known
+    /**
+     * The time until which all cancellations are known. [watchedUntil] is the time until which the state service has
+     * reported them to this controller.
+     */
+    fun completeUntil(watchedUntil: ComparableTimeMark): ComparableTimeMark {
+        knownCompleteUntil = maxOf(knownCompleteUntil, watchedUntil)
+        cancellationsCompleteUntil(peers.latestStatuses, knownCompleteUntil)?.let {
+            knownCompleteUntil = maxOf(knownCompleteUntil, it)
+        }
+        return knownCompleteUntil
     }
 
     private companion object {
-        /** A call to the state service may still be carried out this long after it was made. */
-        val LATE_COMMIT_MARGIN = 15.seconds
+        /** A transaction may still be carried out this long after it was sent to the state service. */
+        val DELAYED_COMMIT_MARGIN = 15.seconds
     }
 }
--- a/src/main/kotlin/topazvale/mesh/HttpPeerClient.kt
+++ b/src/main/kotlin/topazvale/mesh/HttpPeerClient.kt
@@ -12,24 +12,24 @@
 import topazvale.net.HttpStatus
 import kotlin.time.Duration.Companion.seconds
 
-/** Asks peers for their status over HTTP. */
+/** Fetches the status of peers over HTTP. */
 class HttpPeerClient(vertx: Vertx) : PeerClient {
     private val http = Http(vertx, maxConnections = 1, connectTimeout = 1.seconds)
 
     override suspend fun fetchStatus(peer: Peer): ByteArray? =
-        http.call(peer.address, Call(HttpMethod.GET, PATH, null, LIMIT))?.takeIf { it.status == HttpStatus.OK }?.body
+        http.call(peer.address, Call(HttpMethod.GET, PATH, null, TIMEOUT))?.takeIf { it.status == HttpStatus.OK }?.body
 
     private companion object {
-        /** The name under which the production version asks for it as well. */
+        /** The production version requests the status under this path as well. */
         const val PATH = "/word"
-        val LIMIT = 1.seconds
+        val TIMEOUT = 1.seconds
     }
 }
 
-/** Answers peers with what [own] gives. */
-suspend fun servePeerStatus(vertx: Vertx, at: Address, own: () -> PeerStatus): Int =
-    vertx.createHttpServer(HttpServerOptions().setIdleTimeout(IDLE_S))
-        .requestHandler { it.response().end(Buffer.buffer(own().encode())) }
-        .listen(at.port, at.host).coAwait().actualPort()
+/** Serves [status] to peers on [address] and returns the port. */
+suspend fun servePeerStatus(vertx: Vertx, address: Address, status: () -> PeerStatus): Int =
+    vertx.createHttpServer(HttpServerOptions().setIdleTimeout(IDLE_TIMEOUT_S))
+        .requestHandler { it.response().end(Buffer.buffer(status().encode())) }
+        .listen(address.port, address.host).coAwait().actualPort()
 
-private const val IDLE_S = 30
+private const val IDLE_TIMEOUT_S = 30
--- a/src/main/kotlin/topazvale/mesh/PeerStatus.kt
+++ b/src/main/kotlin/topazvale/mesh/PeerStatus.kt
@@ -12,78 +12,88 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * What a controller tells its peers of itself. The numbers of the fields are those that the production version knows.
+ * The status that a controller reports to its peers. The field numbers are those of the production version.
  */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 data class PeerStatus(
     @ProtoNumber(1) val member: String,
-    /** For how long the state service has not answered it; never more than the life of its process. */
+    /** Time since the last response from the state service; at most the age of the process. */
     @ProtoNumber(2) val stateUnresponsiveMs: Long,
-    /** The token it leads with, or 0. */
+    /** The fencing token of its current term, or 0. */
     @ProtoNumber(3) val token: Long,
     /**
-     * For how long [cancelledJobs] has been complete; never more than the life of its process. A version that does not
-     * know of the list says nothing here, which proves nothing: an empty list would prove that nothing was cancelled.
+     * The length of the most recent period in which no cancellation is missing from [cancelledJobs]; at most the age of
+     * the process. A version without the list omits this field, and 0 proves nothing; without the field, its empty list
+     * would prove that nothing was cancelled.
      */
     @ProtoNumber(4) val cancellationsCompleteMs: Long = 0,
-    /** The jobs it has told users are cancelled in that time, or has asked to cancel without learning the outcome. */
+    /** The jobs whose cancellation it confirmed in that period, or requested without learning the outcome. */
     @ProtoNumber(5) val cancelledJobs: List<String> = emptyList(),
-    /** The highest token that its process has led with, or 0. */
+    /** The highest fencing token of all terms of its process, or 0. */
     @ProtoNumber(6) val highestLedToken: Long = 0,
 ) {
-    /** As it is sent. */
+    /** The encoded message. */
     fun encode(): ByteArray = ProtoBuf.encodeToByteArray(this)
 
     companion object {
         private val log = LoggerFactory.getLogger(PeerStatus::class.java)
 
-        /** Null for what cannot be read: it proves nothing. */
+        /** Null for a message that cannot be decoded: it proves nothing. */
         fun decode(bytes: ByteArray): PeerStatus? = try {
             ProtoBuf.decodeFromByteArray<PeerStatus>(bytes)
         } catch (e: IllegalArgumentException) {
-            unreadable(e)
+            logUnreadable(e)
         } catch (
-            // The decoder's own exception for a message that ends too early.
+            // Thrown by the decoder for a truncated message.
             @Suppress("TooGenericExceptionCaught") e: IndexOutOfBoundsException,
         ) {
-            unreadable(e)
+            logUnreadable(e)
         }
 
-        private fun unreadable(cause: RuntimeException): PeerStatus? {
-            log.warn("a peer's status cannot be read: {}", cause.toString())
+        private fun logUnreadable(cause: RuntimeException): PeerStatus? {
+            log.warn("peer status cannot be read: {}", cause.toString())
             return null
         }
     }
 }
 
-/** A peer's last status, with when it was asked for and when it came. */
-class ReceivedStatus(val status: PeerStatus, val asked: ComparableTimeMark, val came: ComparableTimeMark)
+/** A peer's status, with the times at which it was requested and received. */
+class ReceivedStatus(val status: PeerStatus, val requestedAt: ComparableTimeMark, val receivedAt: ComparableTimeMark)
 
 /**
- * Up to when the peers prove that no user was told of a cancellation that we do not know of; null if they do not.
+ * The time until which the peers prove that this controller knows all cancellations confirmed to users; null if they
+ * prove nothing.
  *
- * [since] is up to when we knew it ourselves. A peer that has had no answer of the state service from then until its
- * status was made cannot have led, nor told a user anything, in between; one whose list reaches back to then names all
- * that it told. A peer that cannot be reached, or has started anew since, proves nothing. That none of them has led in
- * between has to be seen from [highestToken].
+ * [since] is the time until which this controller already knows them. A peer that has had no response from the state
+ * service from [since] until it made its status cannot have led or confirmed anything in that period. A peer whose list
+ * reaches back to [since] names all cancellations that it confirmed. An unreachable peer, or one that restarted after
+ * [since], proves nothing. The caller must check with [highestToken] that no peer has led in that period.
  */
 fun cancellationsCompleteUntil(peers: List<ReceivedStatus?>, since: ComparableTimeMark): ComparableTimeMark? {
     if (peers.isEmpty() || peers.any { it == null }) return null
-    val heard = peers.filterNotNull()
-    val all = heard.all {
-        it.asked > since &&
-            maxOf(it.status.stateUnresponsiveMs, it.status.cancellationsCompleteMs).milliseconds >= it.came - since
+    val received = peers.filterNotNull()
+    val allComplete = received.all {
+        it.requestedAt > since &&
+            maxOf(it.status.stateUnresponsiveMs, it.status.cancellationsCompleteMs).milliseconds >=
+            it.receivedAt - since
     }
-    return if (all) heard.minOf { it.asked } else null
+    return if (allComplete) received.minOf { it.requestedAt } else null
 }
 
-/** The highest token that any peer is known to lead with or to have led with. */
+/** The highest fencing token of any term that a peer is known to have led. */
 fun highestToken(peers: List<ReceivedStatus?>): Long =
     peers.maxOfOrNull { if (it == null) 0 else maxOf(it.status.token, it.status.highestLedToken) } ?: 0
 
-/** Whether peers that speak with us get no answers either, none of them. */
-fun allLackStateService(peers: List<ReceivedStatus?>, fresh: Duration, silence: Duration): Boolean {
-    val speaking = peers.filter { it != null && it.came.elapsedNow() < fresh }
-    return speaking.isNotEmpty() && speaking.all { it!!.status.stateUnresponsiveMs.milliseconds >= silence }
+/**
+ * Whether at least one peer is reachable, and none of the reachable peers has had a response from the state service for
+ * [minUnresponsive]. A peer is reachable if its status is younger than [maxStatusAge].
+ */
+fun allCutOffFromStateService(
+    peers: List<ReceivedStatus?>,
+    maxStatusAge: Duration,
+    minUnresponsive: Duration,
+): Boolean {
+    val reachable = peers.filter { it != null && it.receivedAt.elapsedNow() < maxStatusAge }
+    return reachable.isNotEmpty() && reachable.all { it!!.status.stateUnresponsiveMs.milliseconds >= minUnresponsive }
 }
--- a/src/main/kotlin/topazvale/mesh/Peers.kt
+++ b/src/main/kotlin/topazvale/mesh/Peers.kt
@@ -6,50 +6,51 @@
 import topazvale.supervision.SupervisedScope
 import kotlin.time.Duration.Companion.seconds
 
-/** Asks one of the other nodes for its word. */
+/** Fetches the status of a peer. */
 interface PeerClient {
-    /** Null where no answer came. */
+    /** The encoded status, or null without a response. */
     suspend fun fetchStatus(peer: Peer): ByteArray?
 }
 
-/** Asks the other nodes how they stand with the state service. */
+/** Polls the status of the other controllers. */
 class Peers(
     private val scope: SupervisedScope,
-    private val others: List<Peer>,
+    private val peers: List<Peer>,
     private val client: PeerClient,
     private val clocks: Clocks,
-    /** Whether the state service answers us. The peers' words matter where it does not. */
-    private val served: () -> Boolean,
+    /** Whether the state service responds to this controller. The status of the peers matters while it does not. */
+    private val stateServiceAvailable: () -> Boolean,
 ) {
     private val statuses = HashMap<String, ReceivedStatus>()
 
-    /** Begins to ask each peer. */
-    fun start() = others.forEach { seed ->
-        scope.launchForever("peer ${seed.member}") { ask(seed) }
+    /** Starts polling each peer. */
+    fun start() = peers.forEach { peer ->
+        scope.launchForever("peer ${peer.member}") { poll(peer) }
     }
 
-    val all: List<ReceivedStatus?> get() = others.map { statuses[it.member] }
+    /** The last status received from each peer; null for a peer without a usable one. */
+    val latestStatuses: List<ReceivedStatus?> get() = peers.map { statuses[it.member] }
 
-    private suspend fun ask(seed: Peer) {
+    private suspend fun poll(peer: Peer) {
         while (true) {
-            val asked = clocks.mark()
-            val answer = client.fetchStatus(seed)
-            if (answer != null) {
-                val status = PeerStatus.decode(answer)
+            val requestedAt = clocks.mark()
+            val response = client.fetchStatus(peer)
+            if (response != null) {
+                val status = PeerStatus.decode(response)
                 if (status == null) {
-                    statuses.remove(seed.member)
+                    statuses.remove(peer.member)
                 } else {
-                    statuses[seed.member] = ReceivedStatus(status, asked, clocks.mark())
+                    statuses[peer.member] = ReceivedStatus(status, requestedAt, clocks.mark())
                 }
             }
-            delay(EVERY)
-            // Among many nodes these calls add up: where all is well most of them are left out.
-            repeat(LEFT_OUT) { if (served()) delay(EVERY) }
+            delay(POLL_INTERVAL)
+            // The calls add up in a large cluster: while the state service is available, most polls are skipped.
+            repeat(SKIPPED_POLLS) { if (stateServiceAvailable()) delay(POLL_INTERVAL) }
         }
     }
 
     private companion object {
-        val EVERY = 1.seconds
-        const val LEFT_OUT = 3
+        val POLL_INTERVAL = 1.seconds
+        const val SKIPPED_POLLS = 3
     }
 }
--- a/src/main/kotlin/topazvale/model/Clocks.kt
+++ b/src/main/kotlin/topazvale/model/Clocks.kt
@@ -6,14 +6,15 @@
 import kotlin.time.TimeSource
 
 /**
- * What tells the time: the steady clock for spans, the time of day for what outlives a process. Tests bring their own.
+ * The clocks of a controller: the monotonic clock for durations, the wall clock for times that outlive a process. Tests
+ * supply their own clocks.
  */
-class Clocks(val monotonic: TimeSource.WithComparableMarks, private val wall: Clock) {
-    /** Now by the steady clock. */
+class Clocks(val monotonic: TimeSource.WithComparableMarks, private val wallClock: Clock) {
+    /** The current time of the monotonic clock. */
     fun mark(): ComparableTimeMark = monotonic.markNow()
 
-    /** Now by the time of day. */
-    fun now(): Instant = wall.now()
+    /** The current time of the wall clock. */
+    fun now(): Instant = wallClock.now()
 
     companion object {
         val SYSTEM = Clocks(TimeSource.Monotonic, Clock.System)
--- a/src/main/kotlin/topazvale/model/Jobs.kt
+++ b/src/main/kotlin/topazvale/model/Jobs.kt
@@ -3,13 +3,13 @@
 import kotlin.time.Duration
 import kotlin.time.Instant
 
-/** Ordered: a later rank may take room from an earlier one. */
+/** Priority of a job, lowest first: a higher rank may preempt a lower one. */
 enum class Rank { IDLE, NORMAL, URGENT, CRITICAL }
 
-/** The tasks of a [SERVICE], its replicas, run until its user cancels it; each that ends runs again. */
+/** The tasks of a [SERVICE], its replicas, run until its user cancels it; a replica that exits is restarted. */
 enum class Shape { ARRAY, GANG, SERVICE }
 
-/** What a user asked for. Never changes once accepted. */
+/** A job as submitted by its user. It never changes once accepted. */
 data class JobSpec(
     val id: String,
     val queue: String,
@@ -33,43 +33,46 @@
     val isGang get() = shape == Shape.GANG
     val isService get() = shape == Shape.SERVICE
 
-    /** A replica is not worth waiting for: it ends with what it could save, and serves again elsewhere. */
+    /**
+     * Whether its tasks save checkpoints that are worth waiting for. Those of a replica are not: it is stopped with the
+     * progress it could save, and restarts elsewhere.
+     */
     val checkpoints get() = checkpointInterval > Duration.ZERO && !isService
 
-    /** How many of its tasks may be in one zone. */
+    /** The maximum number of its tasks in one zone. */
     val zoneLimit get() = if (spread) (tasks + 1) / 2 else Int.MAX_VALUE
 
-    /** All its tasks are meant to run at once. */
+    /** Whether all its tasks are meant to run at the same time. */
     val runsAllTasksAtOnce get() = isGang || isService
 }
 
-/** Whether users may still expect work of a job; [DONE] and [CANCELLED] are for ever. */
+/** Whether a job may still run; [DONE] and [CANCELLED] are final. */
 enum class JobStatus { LIVE, DONE, CANCELLED }
 
-/** A job as the state service keeps it. */
+/** A job as stored in the state service. */
 data class JobRecord(val spec: JobSpec, val submitted: Instant, val status: JobStatus) {
     val deadline: Instant? get() = spec.deadlineAfter?.let { submitted + it }
 }
 
-/** What a poll shows. */
+/** The state of a job as returned to a poll. */
 data class JobView(val id: String, val status: JobStatus, val done: Int, val running: Int)
 
-/** A task of a job, by its number. */
+/** A task of a job, identified by its index. */
 data class TaskId(val job: String, val index: Int) {
     override fun toString() = "$job/$index"
 }
 
-/** One start of one task. Attempt numbers are never used twice. */
+/** One start of a task. Attempt numbers are never reused. */
 data class Start(val task: TaskId, val attempt: Long)
 
-/** What an objective is about. */
+/** What an objective limits: the time to the start, the time to the finish, or the finish relative to the deadline. */
 enum class ObjectiveKind { STARTED, FINISHED, DEADLINE }
 
 /**
- * What the users of a class expect: its jobs started or finished within a time, or done by a multiple of their
- * deadline.
+ * A service level objective of a queue: its jobs start or finish [within] a time after submission, or finish within
+ * [deadlineFactor] times the time to their deadline.
  */
 data class Objective(val queue: String, val kind: ObjectiveKind, val within: Duration, val deadlineFactor: Double)
 
-/** A team with what it is guaranteed and may use at most; null: no limit. */
+/** A team with its guaranteed resources and its limits; a null limit means unlimited. */
 data class Team(val name: String, val guaranteed: Resources, val limitCpus: Double?, val limitGpus: Double?)
--- a/src/main/kotlin/topazvale/model/Machines.kt
+++ b/src/main/kotlin/topazvale/model/Machines.kt
@@ -2,27 +2,27 @@
 
 import kotlin.time.Duration
 
-/** What a task takes or a machine has. */
+/** Resources that a task needs or a machine has. */
 data class Resources(val cpus: Double, val gpus: Double, val memoryGb: Double) {
-    operator fun plus(o: Resources) = Resources(cpus + o.cpus, gpus + o.gpus, memoryGb + o.memoryGb)
+    operator fun plus(other: Resources) = Resources(cpus + other.cpus, gpus + other.gpus, memoryGb + other.memoryGb)
 
-    operator fun minus(o: Resources) = Resources(cpus - o.cpus, gpus - o.gpus, memoryGb - o.memoryGb)
+    operator fun minus(other: Resources) = Resources(cpus - other.cpus, gpus - other.gpus, memoryGb - other.memoryGb)
 
-    operator fun times(n: Int) = Resources(cpus * n, gpus * n, memoryGb * n)
+    operator fun times(count: Int) = Resources(cpus * count, gpus * count, memoryGb * count)
 
-    /** Whether [o] has room for this. */
-    fun fitsIn(o: Resources) = cpus <= o.cpus + ROUNDING_TOLERANCE && gpus <= o.gpus + ROUNDING_TOLERANCE &&
-        memoryGb <= o.memoryGb + ROUNDING_TOLERANCE
+    /** Whether this fits into [other]. */
+    fun fitsIn(other: Resources) = cpus <= other.cpus + ROUNDING_TOLERANCE && gpus <= other.gpus + ROUNDING_TOLERANCE &&
+        memoryGb <= other.memoryGb + ROUNDING_TOLERANCE
 
-    /** How many of this fit into [o]. */
-    fun countFittingIn(o: Resources): Int {
-        fun share(need: Double, have: Double) =
-            if (need <= 0.0) Int.MAX_VALUE else ((have + ROUNDING_TOLERANCE) / need).toInt().coerceAtLeast(0)
-        return minOf(share(cpus, o.cpus), share(gpus, o.gpus), share(memoryGb, o.memoryGb))
+    /** How many times this fits into [other]. */
+    fun countFittingIn(other: Resources): Int {
+        fun count(needed: Double, available: Double) =
+            if (needed <= 0.0) Int.MAX_VALUE else ((available + ROUNDING_TOLERANCE) / needed).toInt().coerceAtLeast(0)
+        return minOf(count(cpus, other.cpus), count(gpus, other.gpus), count(memoryGb, other.memoryGb))
     }
 
     companion object {
-        /** Amounts are decimals: sums may miss by rounding. */
+        /** Amounts are floating-point numbers, so their sums may have rounding errors. */
         private const val ROUNDING_TOLERANCE = 1e-6
         val NONE = Resources(0.0, 0.0, 0.0)
     }
@@ -39,14 +39,14 @@
     val bootTime: Duration,
     val zones: List<String>,
 ) {
-    /** The current price of a spot or a steady machine. */
+    /** The current price of a spot machine or an on-demand machine. */
     fun price(spot: Boolean) = if (spot) spotPrice else price
 }
 
-/** A market: prices and capacity vary for each on its own. */
+/** A market of the cloud. Prices and capacity vary independently for each market. */
 data class Market(val type: String, val zone: String, val spot: Boolean)
 
-/** A machine by the cloud: booting, up, or stopped by itself. */
+/** The state of a machine reported by the cloud: booting, running, or stopped without a request. */
 enum class CloudStatus { STARTING, RUNNING, FAILED }
 
 /** A machine as the cloud lists it. */
--- a/src/main/kotlin/topazvale/model/WorkerReports.kt
+++ b/src/main/kotlin/topazvale/model/WorkerReports.kt
@@ -2,16 +2,21 @@
 
 import kotlin.time.Duration
 
-/** Where a task on a machine stands. */
+/** The state of a task on its machine. */
 enum class TaskState { FETCHING, WAITING, RUNNING, SAVING, EXITED }
 
 /** Why a task has exited. */
 enum class ExitCause { DONE, STOPPED, MATES_GONE, INCOMPLETE, ERROR, NO_ROOM, BUSY, NO_SUCH }
 
-/** A task as its worker reports it; [cause] of an exited one, [saved] where its progress was saved. */
+/** A task as reported by its worker; [cause] is set if it has exited, [saved] tells whether its progress was saved. */
 data class ReportedTask(val start: Start, val state: TaskState, val cause: ExitCause?, val saved: Boolean)
 
-/** A worker's word about itself. The one with the larger ([session], [sequence]) is the newer. */
+/**
+ * A worker's report of its state. The report with the larger ([session], [sequence]) is newer.
+ *
+ * [token] is the highest fencing token that the worker has seen. [interruptionNotice] is the time left until the cloud
+ * takes back the spot machine; null without a notice.
+ */
 data class Report(
     val host: String,
     val endpoint: String,
@@ -23,14 +28,14 @@
     val tasks: List<ReportedTask>,
 )
 
-/** What a worker is told to do. */
+/** An order from the leader to a worker. */
 sealed interface Order {
-    /** Start the task, unless this attempt is known already. */
+    /** Starts the task, unless the worker already knows this attempt. */
     data class Run(val start: Start) : Order
 
-    /** Stop the task, with this much time to save. */
+    /** Stops the task, with [gracePeriod] to save its progress. */
     data class Stop(val start: Start, val gracePeriod: Duration) : Order
 
-    /** Leave the exited task out of the reports. */
+    /** Removes the exited task from the reports. */
     data class Clear(val start: Start) : Order
 }
--- a/src/main/kotlin/topazvale/supervision/SupervisedScope.kt
+++ b/src/main/kotlin/topazvale/supervision/SupervisedScope.kt
@@ -15,51 +15,51 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * A scope in which no loop dies unnoticed: a failure is logged, counted as `loop_failures`, and answered. After a fatal
- * one the process ends.
+ * A coroutine scope in which no loop fails unnoticed: each failure is logged, counted in the metric `loop_failures` and
+ * handled by a restart or a callback. A fatal failure ends the process.
  */
 class SupervisedScope(context: CoroutineContext, private val fatalFailures: FatalFailureHandler) {
     private val log = LoggerFactory.getLogger(SupervisedScope::class.java)
-    private val uncaught = CoroutineExceptionHandler { _, cause -> reportFailure("uncaught", cause) }
+    private val uncaughtHandler = CoroutineExceptionHandler { _, cause -> reportFailure("uncaught", cause) }
 
-    /** For what is launched beside any loop: what it throws is logged and counted too. */
-    val scope = CoroutineScope(context + SupervisorJob(context[Job]) + uncaught)
+    /** For coroutines outside of any loop: uncaught exceptions are logged and counted as well. */
+    val scope = CoroutineScope(context + SupervisorJob(context[Job]) + uncaughtHandler)
 
-    /** A scope that ends with this one, or before. */
+    /** A child scope, cancelled with this one or earlier. */
     fun child() = SupervisedScope(scope.coroutineContext, fatalFailures)
 
-    /** Ends all that was launched here. */
+    /** Cancels all coroutines of this scope. */
     fun cancel() = scope.cancel()
 
-    /** Runs a loop for as long as the scope: one that fails, or ends, begins anew after a pause. */
+    /** Runs a loop until the scope ends. A loop that fails or returns is restarted after a delay. */
     fun launchForever(name: String, loop: suspend () -> Unit): Job = scope.launch {
         while (true) {
-            if (guarded(name, loop)) log.atError().addKeyValue("loop", name).log("loop_ended")
-            delay(PAUSE)
+            if (runGuarded(name, loop)) log.atError().addKeyValue("loop", name).log("loop_ended")
+            delay(RESTART_DELAY)
         }
     }
 
-    /** Runs work that may end by itself; where it fails [onFailure] is called. */
+    /** Runs work that may complete; if it fails, [onFailure] is called. */
     fun launchOnce(name: String, onFailure: () -> Unit, work: suspend () -> Unit): Job = scope.launch {
-        if (!guarded(name, work)) onFailure()
+        if (!runGuarded(name, work)) onFailure()
     }
 
-    /** Something failed; not to be called for cancellations. */
+    /** Logs and counts a failure, and ends the process if it is fatal. Must not be called for cancellations. */
     fun reportFailure(name: String, cause: Throwable) {
-        if (cause.isFatal) fatalFailures.fatal(cause)
+        if (cause.isFatal) fatalFailures.onFatalFailure(cause)
         Metrics.counter(METRIC, "loop", name).increment()
         log.atError().setCause(cause).addKeyValue("loop", name).log("loop_failed")
     }
 
-    /** Whether the work came to its end. */
-    private suspend fun guarded(name: String, work: suspend () -> Unit): Boolean = try {
+    /** Returns true if the work completed, false if it failed. */
+    private suspend fun runGuarded(name: String, work: suspend () -> Unit): Boolean = try {
         work()
         true
     } catch (
-        // Also errors: the rest of the program would go on without this loop.
+        // Errors are caught too: otherwise the rest of the program would go on without this loop.
         @Suppress("TooGenericExceptionCaught") e: Throwable,
     ) {
-        // Where the scope has ended, the loop ends with it. A cancellation of something else within is a failure.
+        // If the scope was cancelled, the loop ends with it. The cancellation of an inner job is a failure.
         currentCoroutineContext().ensureActive()
         reportFailure(name, e)
         false
@@ -68,7 +68,7 @@
     private companion object {
         const val METRIC = "loop_failures"
 
-        /** A loop that fails at once each time must not take all of the processor. */
-        val PAUSE = 1.seconds
+        /** Keeps a loop that fails immediately each time from using all of the processor. */
+        val RESTART_DELAY = 1.seconds
     }
 }
--- a/src/test/kotlin/topazvale/api/TaskCountsTest.kt
+++ b/src/test/kotlin/topazvale/api/TaskCountsTest.kt
@@ -20,9 +20,9 @@
 
 @OptIn(ExperimentalCoroutinesApi::class)
 class TaskCountsTest {
-    /** A slow listing was followed by a faster one and then replaced what that had told by its own older counts. */
+    /** Guards against a slow listing that replaces the counts of a later, faster listing with its own older counts. */
     @Test
-    fun `the counts of a listing that comes late do not replace later ones`() = runTest {
+    fun `the counts of a delayed listing do not replace newer counts`() = runTest {
         val clock = object : Clock {
             override fun now() = Samples.now + testScheduler.currentTime.milliseconds
         }
--- a/src/test/kotlin/topazvale/config/SettingsTest.kt
+++ b/src/test/kotlin/topazvale/config/SettingsTest.kt
@@ -11,16 +11,16 @@
 class SettingsTest {
     @Test
     fun `settings are read and unknown fields ignored`() {
-        val s = Settings.parse(TEXT + "\n[deployment.later]\nx = 1\n")
-        assertEquals("node-0", s.member)
-        assertEquals(Address("10.0.0.2", 8081), s.peers.single().address)
-        assertEquals(8.0, s.teams.getValue("red").limitGpus)
-        assertEquals(null, s.teams.getValue("red").limitCpus, "0 means none")
-        assertEquals(14.seconds, s.workers.lease)
+        val settings = Settings.parse(TEXT + "\n[deployment.later]\nx = 1\n")
+        assertEquals("node-0", settings.member)
+        assertEquals(Address("10.0.0.2", 8081), settings.peers.single().address)
+        assertEquals(8.0, settings.teams.getValue("red").limitGpus)
+        assertEquals(null, settings.teams.getValue("red").limitCpus, "0 means no limit")
+        assertEquals(14.seconds, settings.workers.lease)
     }
 
     @Test
-    fun `complaints name the field`() {
+    fun `error messages name the field`() {
         val cases = listOf(
             "missing setting: member" to TEXT.replace("member = \"node-0\"", ""),
             "invalid setting: bind must be an address with a port" to TEXT.replace("10.0.0.1:8080", "10.0.0.1"),
@@ -51,20 +51,20 @@
     private fun next(lines: String) = TEXT + "\n[deployment.state.next]\n" + lines
 
     @Test
-    fun `the smaller of the present and the next limits holds from the start`() {
-        val now = StateLimits(rps = 200.0, writeRps = 50.0, valueBytes = 8192, opsPerTransaction = 24)
-        assertEquals(now, Settings.parse(TEXT).stateLimits)
+    fun `the lower of the current and the next limits applies from the start`() {
+        val current = StateLimits(rps = 200.0, writeRps = 50.0, valueBytes = 8192, opsPerTransaction = 24)
+        assertEquals(current, Settings.parse(TEXT).stateLimits)
         val cases = listOf(
             "write_rps = 35.0\nvalue_kb = 2.0\ntxn_ops = 8" to
-                now.copy(writeRps = 35.0, valueBytes = 2048, opsPerTransaction = 8),
-            "write_rps = 90.0\nvalue_kb = 2.0\ntxn_ops = 30" to now.copy(valueBytes = 2048),
-            "rps = 100.0\nwrite_rps = 90.0\nvalue_kb = 16\ntxn_ops = 24" to now.copy(rps = 100.0),
+                current.copy(writeRps = 35.0, valueBytes = 2048, opsPerTransaction = 8),
+            "write_rps = 90.0\nvalue_kb = 2.0\ntxn_ops = 30" to current.copy(valueBytes = 2048),
+            "rps = 100.0\nwrite_rps = 90.0\nvalue_kb = 16\ntxn_ops = 24" to current.copy(rps = 100.0),
         )
         for ((lines, expected) in cases) assertEquals(expected, Settings.parse(next(lines)).stateLimits, lines)
     }
 
     @Test
-    fun `objectives are read by class, and kinds that are not known passed over`() {
+    fun `objectives are grouped by queue, and unknown kinds are ignored`() {
         val kinds = listOf("kind = \"wait\"\nwithin_s = 5.0", "kind = \"deadline\"\ntimes = 1.5", "kind = \"later\"")
         val text = kinds.joinToString("") { "\n[[deployment.objectives]]\nclass = \"reports\"\nshare = 0.9\n$it" }
         val expected = listOf(
--- a/src/test/kotlin/topazvale/leader/ElectionTest.kt
+++ b/src/test/kotlin/topazvale/leader/ElectionTest.kt
@@ -22,7 +22,7 @@
 class ElectionTest {
     private fun TestScope.supervised() = SupervisedScope(backgroundScope.coroutineContext) { throw it }
 
-    private fun recording(terms: MutableList<Term>) = object : TermListener {
+    private fun recordTerms(terms: MutableList<Term>) = object : TermListener {
         override fun termBegan(term: Term) {
             terms += term
         }
@@ -31,11 +31,12 @@
     }
 
     /**
-     * Attempts and bookings are told apart by the token: it must never stand for two terms. And a term must renew the
-     * lease on which its key hangs.
+     * Guards against two terms with the same token, which distinguishes attempts and bookings, and against a term that
+     * renews another lease than the one its key is attached to. Both happen if the record that a previous term of the
+     * process left behind is taken for that of a campaign with an unknown outcome.
      */
     @Test
-    fun `the record of an own former term is not taken for a campaign's success`() = runTest {
+    fun `the record of a previous term of the same process does not count as a successful campaign`() = runTest {
         val clocks = Clocks(testScheduler.timeSource, Clock.System)
         val store = FakeStateStore(clocks)
         val state = FakeStateService(store).also { it.later = backgroundScope }
@@ -47,7 +48,7 @@
                 4.seconds,
                 supervised(),
                 clocks,
-                recording(terms),
+                recordTerms(terms),
             )
         val running = election.start()
         delay(2.seconds)
@@ -55,7 +56,7 @@
         terms.single().end()
         delay(10.seconds)
         state.lateWrites += 3.seconds
-        // The key, which could not be removed, is still there: its lease has its full time again.
+        // The key could not be deleted and still exists; its lease has its full duration again.
         store.outage = false
         delay(30.seconds)
         running.cancel()
@@ -64,7 +65,7 @@
     }
 
     @Test
-    fun `a leader record that cannot be read ends no election, and is waited for`() = runTest {
+    fun `an unreadable leader record does not stop the election, and its lease is awaited`() = runTest {
         val clocks = Clocks(testScheduler.timeSource, Clock.System)
         val store = FakeStateStore(clocks)
         val unreadable = Change.Put(Keys.LEADER, mapOf("member" to 7), store.grant(10.seconds))
@@ -77,25 +78,25 @@
                 4.seconds,
                 supervised(),
                 clocks,
-                recording(terms),
+                recordTerms(terms),
             )
         val running = election.start()
         delay(8.seconds)
-        assertEquals(0, terms.size, "its lease has not ended")
+        assertEquals(0, terms.size, "its lease has not expired")
         delay(12.seconds)
         running.cancel()
         assertEquals(1, terms.size)
     }
 
     @Test
-    fun `campaigns whose answers get lost and that are carried out late never share a token or a lease`() = runTest {
+    fun `delayed campaigns whose responses are lost never share a token or a lease`() = runTest {
         val cases = listOf(
             listOf(3.seconds, 1.seconds),
             listOf(1.seconds, 3.seconds),
             listOf(2500.milliseconds, 100.milliseconds, 4.seconds),
             listOf(Duration.ZERO, Duration.ZERO, 6.seconds),
         )
-        for (late in cases) {
+        for (delays in cases) {
             val clocks = Clocks(testScheduler.timeSource, Clock.System)
             val store = FakeStateStore(clocks)
             val state = FakeStateService(store).also { it.later = backgroundScope }
@@ -107,21 +108,21 @@
                     4.seconds,
                     supervised(),
                     clocks,
-                    recording(terms),
+                    recordTerms(terms),
                 )
-            state.lateWrites += late
+            state.lateWrites += delays
             val running = election.start()
             repeat(4) {
                 delay(10.seconds)
-                // The term ends by itself, and the removal of its key is refused: the record stays as it was.
-                state.lateWrites += late
+                // The term ends, and the deletion of its key is delayed: the record stays unchanged until then.
+                state.lateWrites += delays
                 terms.lastOrNull()?.end()
             }
             delay(30.seconds)
             running.cancel()
-            assertTrue(terms.size > 1, "$late")
-            assertEquals(terms.map { it.token }.distinct(), terms.map { it.token }, "$late")
-            assertEquals(store.get(Keys.LEADER)?.lease, terms.last().lease, "$late")
+            assertTrue(terms.size > 1, "$delays")
+            assertEquals(terms.map { it.token }.distinct(), terms.map { it.token }, "$delays")
+            assertEquals(store.get(Keys.LEADER)?.lease, terms.last().lease, "$delays")
         }
     }
 }
--- a/src/test/kotlin/topazvale/mesh/PeersTest.kt
+++ b/src/test/kotlin/topazvale/mesh/PeersTest.kt
@@ -11,62 +11,70 @@
 
 class PeersTest {
     private val time = TestTimeSource()
-    private val began = time.markNow()
+    private val startedAt = time.markNow()
 
     @Test
-    fun `only what every peer vouches for over the whole time extends the grace`() {
+    fun `completeness extends only if every peer proves it for the whole period`() {
         time += 10.seconds
-        // Sure until 5 s; both peers asked at 9 s and heard at 10 s.
-        fun heard(silent: Int, covers: Int = 0) = ReceivedStatus(
-            PeerStatus("p", silent * 1000L, 0, cancellationsCompleteMs = covers * 1000L),
-            began + 9.seconds,
-            began + 10.seconds,
+        // Cancellations are known until 5 s; the peer statuses are requested at 9 s and received at 10 s.
+        fun received(unresponsiveS: Int, completeS: Int = 0) = ReceivedStatus(
+            PeerStatus("p", unresponsiveS * 1000L, 0, cancellationsCompleteMs = completeS * 1000L),
+            startedAt + 9.seconds,
+            startedAt + 10.seconds,
         )
         val cases = listOf(
-            Triple("both silent since before", listOf(heard(6), heard(5)), 9.seconds),
-            Triple("one was served since", listOf(heard(6), heard(4)), null),
-            Triple("one was served since and names all it told", listOf(heard(6), heard(4, covers = 5)), 9.seconds),
-            Triple("its list does not reach back far enough", listOf(heard(6), heard(4, covers = 4)), null),
-            Triple("one says nothing", listOf(heard(6), null), null),
+            Triple("both without responses for the whole period", listOf(received(6), received(5)), 9.seconds),
+            Triple("one had a response in the period", listOf(received(6), received(4)), null),
+            Triple(
+                "one had a response in the period and lists all its cancellations",
+                listOf(received(6), received(4, completeS = 5)),
+                9.seconds,
+            ),
+            Triple("its list does not cover the whole period", listOf(received(6), received(4, completeS = 4)), null),
+            Triple("one is unreachable", listOf(received(6), null), null),
             Triple("no peers", emptyList(), null),
         )
         for ((name, peers, expected) in cases) {
-            assertEquals(expected, cancellationsCompleteUntil(peers, began + 5.seconds)?.let { it - began }, name)
+            assertEquals(
+                expected,
+                cancellationsCompleteUntil(peers, startedAt + 5.seconds)?.let { it - startedAt },
+                name,
+            )
         }
     }
 
     @Test
-    fun `a peer that led and leads no more still shows its token`() {
-        fun heard(token: Long, led: Long) =
-            ReceivedStatus(PeerStatus("p", 0, token, highestLedToken = led), began, began)
+    fun `a former leader still reports the token of its term`() {
+        fun received(token: Long, highestLed: Long) =
+            ReceivedStatus(PeerStatus("p", 0, token, highestLedToken = highestLed), startedAt, startedAt)
         assertEquals(0, highestToken(listOf(null)))
-        assertEquals(9, highestToken(listOf(heard(0, 9), heard(7, 7), null)))
-        assertEquals(8, highestToken(listOf(heard(8, 0))), "a version that does not know the field")
+        assertEquals(9, highestToken(listOf(received(0, 9), received(7, 7), null)))
+        assertEquals(8, highestToken(listOf(received(8, 0))), "a version without the field")
     }
 
     @Test
-    fun `a list of cancellations is complete for as long as it says`() {
-        val list = CancellationLog(20.seconds, Clocks(time, Clock.System), most = 3)
+    fun `the cancellation log holds every cancellation of the period it claims to be complete for`() {
+        val log = CancellationLog(20.seconds, Clocks(time, Clock.System), maxEntries = 3)
         time += 5.seconds
-        list.requested("job-1")
-        list.confirmed("job-2")
-        list.requested("job-2")
-        list.withdrawn("job-2")
-        assertEquals(setOf("job-1", "job-2"), list.ids, "what was told stays told")
-        list.withdrawn("job-1")
-        assertEquals(setOf("job-2"), list.ids)
-        assertEquals(5.seconds, list.completeFor, "not longer than its process lives")
+        log.requested("job-1")
+        log.confirmed("job-2")
+        log.requested("job-2")
+        log.withdrawn("job-2")
+        assertEquals(setOf("job-1", "job-2"), log.ids, "a confirmed cancellation is not withdrawn")
+        log.withdrawn("job-1")
+        assertEquals(setOf("job-2"), log.ids)
+        assertEquals(5.seconds, log.completeFor, "at most the age of the process")
         time += 5.seconds
-        for (i in 3..5) list.confirmed("job-$i")
-        assertEquals(setOf("job-3", "job-4", "job-5"), list.ids)
-        assertTrue(list.completeFor <= 5.seconds, "cut off, it does not vouch for the time of what is left out")
+        for (i in 3..5) log.confirmed("job-$i")
+        assertEquals(setOf("job-3", "job-4", "job-5"), log.ids)
+        assertTrue(log.completeFor <= 5.seconds, "a truncated log is not complete for the time of the dropped entries")
         time += 30.seconds
-        assertTrue(list.ids.isEmpty())
-        assertEquals(20.seconds, list.completeFor)
+        assertTrue(log.ids.isEmpty())
+        assertEquals(20.seconds, log.completeFor)
     }
 
     @Test
-    fun `a word of another version or a garbled one is told from an empty list`() {
+    fun `the status of another version and a corrupt one are distinguished from an empty list`() {
         val status =
             PeerStatus(
                 "p",
@@ -77,11 +85,11 @@
                 highestLedToken = 7,
             )
         assertEquals(status, PeerStatus.decode(status.encode()))
-        // As the version before wrote it: member, silentMs and token alone.
+        // Encoded by the previous version: only member, silentMs and token.
         val older = byteArrayOf(0x0A, 1, 'p'.code.toByte(), 0x10, 0xA0.toByte(), 0x1F, 0x18, 7)
         assertEquals(PeerStatus("p", 4000, 7), PeerStatus.decode(older))
         val later = status.encode() + byteArrayOf(0x78, 1)
-        assertEquals(status, PeerStatus.decode(later), "fields of a later version are passed over")
+        assertEquals(status, PeerStatus.decode(later), "fields of a later version are ignored")
         assertFalse(PeerStatus("p", 4000, 7).cancellationsCompleteMs > 0)
         for (length in 1 until status.encode().size) PeerStatus.decode(status.encode().copyOf(length))
         assertEquals(null, PeerStatus.decode(byteArrayOf(-1, -1, -1, 3)))
