--- a/src/test/kotlin/topazvale/CancellationFailuresTest.kt
+++ b/src/test/kotlin/topazvale/CancellationFailuresTest.kt
@@ -16,7 +16,7 @@
         val ids = (1..6).map { long.copy(id = "job-9$it", estimate = 300.seconds) }
         taskTime = { _, _ -> 300.seconds }
         ids.forEach { submit(it) }
-        ids.forEach { untilRunning(it.id, 6) }
+        ids.forEach { awaitRunning(it.id, 6) }
         val former = leader!!
         former.state.refusing = true
         delay(cancelAfter)
@@ -25,10 +25,10 @@
         store.outage = true
         delay(cancelAfter)
         former.state.refusing = false
-        until(5.seconds, "what was cancelled is gone at once") { ids.take(4).all { runningOf(it.id) == 0 } }
+        awaitCondition(5.seconds, "what was cancelled is gone at once") { ids.take(4).all { runningCount(it.id) == 0 } }
         delay(60.seconds)
         // What nobody cancelled need not fall with it.
-        ids.drop(4).forEach { assertEquals(6, runningOf(it.id), it.id) }
+        ids.drop(4).forEach { assertEquals(6, runningCount(it.id), it.id) }
         store.outage = false
         delay(20.seconds)
         ids.take(4).forEach { assertEquals("withdrawn", poll(it.id)) }
@@ -46,17 +46,17 @@
     @Test
     fun `a node that has started anew vouches for nothing, and the leases run out in time`() = withCluster {
         submit(long)
-        untilRunning(long.id, 6)
+        awaitRunning(long.id, 6)
         val former = leader!!
         former.state.refusing = true
         val other = followers.first()
         assertEquals("withdrawn", cancel(long.id, other))
         store.outage = true
-        other.end()
+        other.stop()
         delay(1.seconds)
         start(other.name)
         delay(70.seconds)
-        assertEquals(0, runningOf(long.id))
+        assertEquals(0, runningCount(long.id))
         former.state.refusing = false
         store.outage = false
         delay(20.seconds)
@@ -67,17 +67,17 @@
     fun `a cancellation of unknown outcome stops the tasks, and the job runs on if it was not carried out`() =
         withCluster {
             submit(long)
-            untilRunning(long.id, 6)
+            awaitRunning(long.id, 6)
             val other = followers.first()
             // It reaches the state service long after all this.
-            other.state.lateWrites += 1000.seconds
+            other.state.delayedWrites += 1000.seconds
             assertEquals(null, tryCancel(long.id, other))
-            until(6.seconds, "its tasks are stopped") { runningOf(long.id) == 0 }
+            awaitCondition(6.seconds, "its tasks are stopped") { runningCount(long.id) == 0 }
             // The node is gone for good, and its word with it.
-            other.end()
+            other.stop()
             delay(90.seconds)
             assertEquals("running", poll(long.id))
-            untilRunning(long.id, 6)
+            awaitRunning(long.id, 6)
         }
 
     @Test
@@ -102,15 +102,15 @@
     @Test
     fun `a leader that keeps its lease, and learns from neither watch nor peers what users cancel`() = withCluster {
         submit(long)
-        untilRunning(long.id, 6)
+        awaitRunning(long.id, 6)
         val former = leader!!
         former.state.watchesHang = true
         former.cutFromPeers = true
         cancel(long.id, followers.first())
         delay(50.seconds)
-        assertEquals(0, runningOf(long.id))
+        assertEquals(0, runningCount(long.id))
         submit(spec)
-        untilDone(spec.id)
+        awaitDone(spec.id)
     }
 
     @Test
@@ -121,7 +121,7 @@
         delay(5.seconds)
         jobs.take(3).forEach { cancel(it.id) }
         repeat(10) { jobs.forEach { poll(it.id) } }
-        jobs.drop(3).forEach { untilDone(it.id) }
+        jobs.drop(3).forEach { awaitDone(it.id) }
     }
 
     @Test
@@ -131,11 +131,11 @@
             for (i in 0..24) {
                 val job = spec.copy(id = "job-8$i", tasks = 1)
                 submit(job)
-                untilRunning(job.id, 1)
+                awaitRunning(job.id, 1)
                 delay(4600.milliseconds + (i * 60).milliseconds)
                 val (first, second) = followers
-                if (i % 4 == 3) leader!!.state.lateWrites += 3.seconds
-                if (i % 5 == 4) first.state.lateWrites += 3.seconds
+                if (i % 4 == 3) leader!!.state.delayedWrites += 3.seconds
+                if (i % 5 == 4) first.state.delayedWrites += 3.seconds
                 val asking = listOf<suspend () -> Unit>(
                     { poll(job.id, second) },
                     { submit(job, leader) },
@@ -154,19 +154,19 @@
     @Test
     fun `tasks are cancelled whose machines hang and go on later`() = withCluster {
         submit(long)
-        untilRunning(long.id, 6)
-        workers.values.filter { it.on.isNotEmpty() }.forEachIndexed { i, w -> w.hang((11 + i).seconds) }
+        awaitRunning(long.id, 6)
+        workers.values.filter { it.runningTasks.isNotEmpty() }.forEachIndexed { i, w -> w.pause((11 + i).seconds) }
         cancel(long.id)
         handOver()
         delay(50.seconds)
-        assertEquals(0, runningOf(long.id))
+        assertEquals(0, runningCount(long.id))
     }
 
     @Test
     fun `a command is held up for longer than cancel_s, and its job cancelled meanwhile`() = withCluster {
         submit(spec)
-        untilDone(spec.id)
-        workers.values.forEach { it.faults.lateCommands = 50.seconds }
+        awaitDone(spec.id)
+        workers.values.forEach { it.faults.unansweredCommandDelay = 50.seconds }
         submit(long)
         delay(700.milliseconds)
         cancel(long.id)
@@ -177,11 +177,11 @@
     @Test
     fun `a leader keeps only its workers and users, and jobs are cancelled through the new one`() = withCluster {
         submit(long.copy(tasks = 12))
-        untilRunning(long.id, 12)
+        awaitRunning(long.id, 12)
         val former = leader!!
         former.state.hanging = true
         former.cutFromPeers = true
-        until(20.seconds, "another one leads") { leader !== former }
+        awaitCondition(20.seconds, "another one leads") { leader !== former }
         assertEquals("withdrawn", cancel(long.id, leader))
         repeat(10) {
             poll(long.id, former)
@@ -190,6 +190,6 @@
         submit(spec, leader)
         former.state.hanging = false
         former.cutFromPeers = false
-        untilDone(spec.id)
+        awaitDone(spec.id)
     }
 }
--- a/src/test/kotlin/topazvale/ClusterTest.kt
+++ b/src/test/kotlin/topazvale/ClusterTest.kt
@@ -121,7 +121,7 @@
         assertEquals("done", status(spec.id))
         assertEquals(404, status("job-unknown"))
         assertEquals(422, submit(spec.copy(id = "job-3", team = "nobody")))
-        assertTrue(cluster.doubled.isEmpty())
+        assertTrue(cluster.duplicateRuns.isEmpty())
     }
 
     @Test
@@ -132,7 +132,7 @@
         start("node-1")
         kill(nodes.first())
         done(spec.id)
-        assertTrue(cluster.doubled.isEmpty())
+        assertTrue(cluster.duplicateRuns.isEmpty())
     }
 
     @Test
@@ -143,7 +143,7 @@
         start("node-1")
         nodes.first().state.refusing = true
         done(spec.id)
-        assertTrue(cluster.doubled.isEmpty())
+        assertTrue(cluster.duplicateRuns.isEmpty())
     }
 
     @Test
@@ -152,10 +152,10 @@
         submit(spec.copy(tasks = 40))
         eventually(30.seconds) { cluster.running.values.sum().takeIf { it > 0 } }
         start("node-1")
-        cluster.unreachable = nodes.first().port
+        cluster.unreachablePort = nodes.first().port
         done(spec.id)
         assertEquals("node-1", store.get(Keys.LEADER)?.data?.get("member"))
-        assertTrue(cluster.doubled.isEmpty())
+        assertTrue(cluster.duplicateRuns.isEmpty())
     }
 
     @Test
@@ -173,11 +173,11 @@
     @Test
     fun `straight orders that arrive late start nothing twice`() {
         start("node-0")
-        cluster.late = 700.milliseconds
+        cluster.commandDelay = 700.milliseconds
         submit(spec.copy(tasks = 20))
         done(spec.id)
         runBlocking { delay(1.seconds) }
-        assertTrue(cluster.doubled.isEmpty())
+        assertTrue(cluster.duplicateRuns.isEmpty())
         assertEquals(0, cluster.running.values.sum())
     }
 
@@ -208,23 +208,23 @@
         }
         done(spec.id)
         assertEquals(tokens.sorted(), tokens, "no token is used twice")
-        assertTrue(cluster.doubled.isEmpty())
+        assertTrue(cluster.duplicateRuns.isEmpty())
     }
 
     @Test
     fun `a machine that does not hear us is replaced and its work done elsewhere`() {
         start("node-0")
-        cluster.deaf += "n-000001"
+        cluster.hostsDroppingInbound += "n-000001"
         submit(spec.copy(tasks = 40))
         done(spec.id)
         eventually(60.seconds) { Unit.takeIf { "n-000001" !in runBlocking { cluster.listMachines() }.map { it.host } } }
-        assertTrue(cluster.doubled.isEmpty())
+        assertTrue(cluster.duplicateRuns.isEmpty())
     }
 
     @Test
     fun `late copies of reports change nothing, over a change of leader either`() {
         start("node-0")
-        cluster.copies = LEASE + 1.seconds
+        cluster.duplicateReportDelay = LEASE + 1.seconds
         submit(spec.copy(tasks = 40))
         eventually(30.seconds) { cluster.running.values.sum().takeIf { it > 0 } }
         start("node-1")
@@ -233,7 +233,7 @@
         val second = spec.copy(id = "job-5", tasks = 40)
         submit(second)
         done(second.id)
-        assertTrue(cluster.doubled.isEmpty())
+        assertTrue(cluster.duplicateRuns.isEmpty())
         assertEquals("done", status(spec.id))
     }
 
@@ -250,7 +250,7 @@
         assertTrue(asked.elapsedNow() < 1.seconds, "the answer is not held back")
         start("node-1")
         done(spec.id)
-        assertTrue(cluster.doubled.isEmpty())
+        assertTrue(cluster.duplicateRuns.isEmpty())
     }
 
     @Test
@@ -264,18 +264,18 @@
             when (random.nextInt(4)) {
                 0 -> kill(nodes.first()).also { start("node-${random.nextInt(2, 9)}") }
                 1 -> nodes.first().state.refusing = true
-                2 -> nodes.last().state.losingAnswers = true
-                else -> cluster.late = 300.milliseconds
+                2 -> nodes.last().state.losesResponses = true
+                else -> cluster.commandDelay = 300.milliseconds
             }
             runBlocking { delay(random.nextInt(300).milliseconds) }
             nodes.forEach {
                 it.state.refusing = false
-                it.state.losingAnswers = false
+                it.state.losesResponses = false
             }
-            cluster.late = null
+            cluster.commandDelay = null
         }
         for (job in jobs) done(job.id)
-        assertTrue(cluster.doubled.isEmpty())
+        assertTrue(cluster.duplicateRuns.isEmpty())
     }
 
     private companion object {
--- a/src/test/kotlin/topazvale/FailureScenario.kt
+++ b/src/test/kotlin/topazvale/FailureScenario.kt
@@ -29,9 +29,9 @@
     ) = runTest(timeout = 2.minutes) {
         val cluster = FakeCluster(this, settingsText = settingsText)
         cluster.taskTime = { job, _ -> if (job.id == long.id) 300.seconds else taskTime }
-        cluster.until(30.seconds, "somebody leads") { cluster.leader != null }
+        cluster.awaitCondition(30.seconds, "somebody leads") { cluster.leader != null }
         cluster.body()
-        assertEquals(emptyList<String>(), cluster.broken)
+        assertEquals(emptyList<String>(), cluster.violations)
     }
 
     protected fun FakeCluster.job(spec: JobSpec) = also { jobs[spec.id] = spec }
@@ -39,8 +39,8 @@
     /** Ends what leads, so that another one takes over, and brings the former one back. */
     protected suspend fun FakeCluster.handOver(back: Duration = 3.seconds) {
         val former = leader ?: return
-        former.end()
-        until(20.seconds, "another one leads") { leader != null && leader?.name != former.name }
+        former.stop()
+        awaitCondition(20.seconds, "another one leads") { leader != null && leader?.name != former.name }
         delay(back)
         start(former.name)
     }
--- a/src/test/kotlin/topazvale/JobEndFailuresTest.kt
+++ b/src/test/kotlin/topazvale/JobEndFailuresTest.kt
@@ -29,7 +29,7 @@
                     lagging.cancel()
                 }
                 // No command is held up here, so that not one is on its way either.
-                assertEquals(emptyList<String>(), observer.beginsAfterDone, "seed $seed")
+                assertEquals(emptyList<String>(), observer.attemptsAfterDone, "seed $seed")
             }
         }
     }
@@ -51,7 +51,7 @@
             delay(random.nextInt(2500, 4500).milliseconds)
             cancel(job.id)
         } else {
-            untilDone(job.id)
+            awaitDone(job.id)
         }
     }
 
--- a/src/test/kotlin/topazvale/LeaseFailuresTest.kt
+++ b/src/test/kotlin/topazvale/LeaseFailuresTest.kt
@@ -24,16 +24,16 @@
             withCluster(taskTime = 300.seconds) {
                 clockRate = { 1.0 + random.nextDouble(-CLOCK_DRIFT, CLOCK_DRIFT) }
                 submit(spec.copy(id = "job-1", tasks = 20, estimate = 300.seconds))
-                untilRunning("job-1", 20)
+                awaitRunning("job-1", 20)
                 val slow = workers.values.toList()
                 slow.forEach { it.faults.reportDelay = { random.nextInt(900, 1500).milliseconds } }
                 comeAndGo(random, until = 12.seconds)
                 slow.shuffled(random).take(slow.size / 2).forEach { worker ->
-                    worker.faults.reaches = { false }
+                    worker.faults.canReach = { false }
                     delay(random.nextInt(0, 400).milliseconds)
                 }
                 delay(25.seconds)
-                assertEquals(emptyList<String>(), broken, "seed $seed")
+                assertEquals(emptyList<String>(), violations, "seed $seed")
                 cancel("job-1")
             }
         }
--- a/src/test/kotlin/topazvale/LoopFailuresTest.kt
+++ b/src/test/kotlin/topazvale/LoopFailuresTest.kt
@@ -43,7 +43,7 @@
     /** A job runs, another one comes, and the call fails at the controllers of the case. */
     private suspend fun FakeCluster.plant(case: Case, failure: () -> Throwable): Planted {
         submit(spec)
-        untilRunning(spec.id, 2)
+        awaitRunning(spec.id, 2)
         val planted = Planted()
         val hit = if (case.role == Role.LEADER) listOf(leader!!) else followers
         for (member in hit) {
@@ -55,13 +55,13 @@
         }
         submit(spec.copy(id = "job-2"), followers.first())
         if (case.role != Role.LEADER) handOver()
-        until(60.seconds, "the call fails") { planted.failed > 0 }
+        awaitCondition(60.seconds, "the call fails") { planted.failed > 0 }
         return planted
     }
 
     private suspend fun FakeCluster.untilAllDone() {
         submit(spec.copy(id = "job-3"))
-        for (id in listOf(spec.id, "job-2", "job-3")) untilDone(id, 120.seconds)
+        for (id in listOf(spec.id, "job-2", "job-3")) awaitDone(id, 120.seconds)
     }
 
     private fun play(case: Case, failure: () -> Throwable) = withCluster {
@@ -69,15 +69,15 @@
         delay(5.seconds)
         untilAllDone()
         // A loop of a term goes on in another term; the others are begun again where they failed.
-        if (case.loop in OUTSIDE_TERMS) until(60.seconds, "the loop goes on") { planted.callsSince > 0 }
+        if (case.loop in OUTSIDE_TERMS) awaitCondition(60.seconds, "the loop goes on") { planted.callsSince > 0 }
     }
 
     /** Memory that has run out may have broken any loop, not only the one that is told of it. */
     private fun playFatal(case: Case) = withCluster {
         plant(case) { OutOfMemoryError("planted") }
-        until(60.seconds, "the process ends") { fatalFailures.isNotEmpty() }
+        awaitCondition(60.seconds, "the process ends") { fatalFailures.isNotEmpty() }
         assertTrue(fatalFailures.all { it is OutOfMemoryError }, "$fatalFailures")
-        until(30.seconds, "all processes are back") { nodes.size == 3 }
+        awaitCondition(30.seconds, "all processes are back") { nodes.size == 3 }
         untilAllDone()
     }
 
--- a/src/test/kotlin/topazvale/RandomFailuresTest.kt
+++ b/src/test/kotlin/topazvale/RandomFailuresTest.kt
@@ -17,7 +17,7 @@
 
     private val troubles = listOf(
         Trouble("leader ends") { r ->
-            val former = leader?.also { it.end() }
+            val former = leader?.also { it.stop() }
             delay(r.nextInt(200, 8000).milliseconds)
             if (former != null && former.name !in nodes) start(former.name)
         },
@@ -34,17 +34,19 @@
             store.outage = false
         },
         Trouble("late writes") { r ->
-            for (node in nodes.values) repeat(10) { node.state.lateWrites += r.nextInt(2, 12).seconds }
+            for (node in nodes.values) repeat(10) { node.state.delayedWrites += r.nextInt(2, 12).seconds }
         },
         Trouble("slow state") { r -> nodes.values.forEach { it.state.latency = r.nextInt(100, 700).milliseconds } },
-        Trouble("deaf") { r -> some(r).forEach { it.faults.deaf = true } },
-        Trouble("mute") { r -> some(r).forEach { it.faults.mute = true } },
-        Trouble("away") { r -> some(r).forEach { it.faults.reaches = { false } } },
-        Trouble("hung") { r -> some(r).forEach { it.hang(r.nextInt(3, 30).seconds) } },
-        Trouble("gone") { r -> some(r).take(2).forEach { workers.remove(it.host)?.gone() } },
-        Trouble("copies") { copies = it.nextInt(2, 25).seconds },
-        Trouble("held reports") { r -> some(r).forEach { it.faults.holdNext = r.nextInt(3, 20).seconds } },
-        Trouble("late commands") { r -> some(r).forEach { it.faults.lateCommands = r.nextInt(3, 40).seconds } },
+        Trouble("deaf") { r -> some(r).forEach { it.faults.dropsInbound = true } },
+        Trouble("mute") { r -> some(r).forEach { it.faults.dropsReports = true } },
+        Trouble("away") { r -> some(r).forEach { it.faults.canReach = { false } } },
+        Trouble("hung") { r -> some(r).forEach { it.pause(r.nextInt(3, 30).seconds) } },
+        Trouble("gone") { r -> some(r).take(2).forEach { workers.remove(it.host)?.terminate() } },
+        Trouble("copies") { duplicateReportDelay = it.nextInt(2, 25).seconds },
+        Trouble("held reports") { r -> some(r).forEach { it.faults.nextReportDelay = r.nextInt(3, 20).seconds } },
+        Trouble("late commands") { r ->
+            some(r).forEach { it.faults.unansweredCommandDelay = r.nextInt(3, 40).seconds }
+        },
         Trouble("leader with its workers alone") {
             leader?.let {
                 it.state.hanging = true
@@ -53,7 +55,7 @@
         },
         Trouble("all controllers end") { r ->
             val names = nodes.keys.toList()
-            nodes.values.toList().forEach { it.end() }
+            nodes.values.toList().forEach { it.stop() }
             delay(r.nextInt(1, 20).seconds)
             names.forEach { if (it !in nodes) start(it) }
         },
@@ -64,20 +66,20 @@
 
     private fun FakeCluster.calm() {
         store.outage = false
-        copies = null
+        duplicateReportDelay = null
         for (name in listOf("node-0", "node-1", "node-2")) if (name !in nodes) start(name)
         for (node in nodes.values) {
             node.state.refusing = false
             node.state.hanging = false
-            node.state.lateWrites.clear()
+            node.state.delayedWrites.clear()
             node.state.latency = 1.milliseconds
             node.cutFromPeers = false
         }
         for (worker in workers.values) {
-            worker.faults.deaf = false
-            worker.faults.mute = false
-            worker.faults.reaches = { true }
-            worker.faults.lateCommands = null
+            worker.faults.dropsInbound = false
+            worker.faults.dropsReports = false
+            worker.faults.canReach = { true }
+            worker.faults.unansweredCommandDelay = null
         }
     }
 
@@ -111,16 +113,16 @@
                 val calmed = clocks.mark()
                 for (job in all - all.last()) {
                     val left = 75.seconds - calmed.elapsedNow().coerceAtMost(70.seconds)
-                    until(left, "$name: ${job.id} is answered for") { poll(job.id) != null }
+                    awaitCondition(left, "$name: ${job.id} is answered for") { poll(job.id) != null }
                 }
                 for (job in all - all.last()) {
-                    val now = "${poll(job.id)} with ${runningOf(job.id)} running"
-                    until(150.seconds, "$name: ${job.id} is over, not $now") {
+                    val now = "${poll(job.id)} with ${runningCount(job.id)} running"
+                    awaitCondition(150.seconds, "$name: ${job.id} is over, not $now") {
                         poll(job.id).let { it == "done" || it == "withdrawn" }
                     }
                 }
-                untilRunning(all.last().id, 3)
-                assertEquals(emptyList<String>(), broken, name)
+                awaitRunning(all.last().id, 3)
+                assertEquals(emptyList<String>(), violations, name)
             }
         }
     }
@@ -134,7 +136,7 @@
                 val service = Samples.service.copy(id = "job-10")
                 (1..8).forEach { submit(spec.copy(id = "job-$it", tasks = 2)) }
                 submit(service)
-                untilRunning(service.id, 3)
+                awaitRunning(service.id, 3)
                 coroutineScope {
                     val begun = launch { trouble.begin(this@withCluster, random) }
                     delay(500.milliseconds)
@@ -145,11 +147,11 @@
                     calm()
                     cancelling.join()
                 }
-                until(60.seconds, "${trouble.name}: no replica is left") { runningOf(service.id) == 0 }
+                awaitCondition(60.seconds, "${trouble.name}: no replica is left") { runningCount(service.id) == 0 }
                 delay(50.seconds)
-                assertEquals(0, runningOf(service.id), trouble.name)
-                until(10.seconds, "${trouble.name}: it is cancelled") { poll(service.id) == "withdrawn" }
-                assertEquals(emptyList<String>(), broken, trouble.name)
+                assertEquals(0, runningCount(service.id), trouble.name)
+                awaitCondition(10.seconds, "${trouble.name}: it is cancelled") { poll(service.id) == "withdrawn" }
+                assertEquals(emptyList<String>(), violations, trouble.name)
             }
         }
     }
--- a/src/test/kotlin/topazvale/SlowPlanTest.kt
+++ b/src/test/kotlin/topazvale/SlowPlanTest.kt
@@ -17,15 +17,15 @@
         for (span in listOf(1.seconds, 2.seconds, 3.seconds, 9.seconds)) {
             withCluster {
                 submit(long)
-                untilRunning(long.id, 6)
-                leader!!.standsStillFor = span
-                until(5.seconds, "it has stood still") { leader?.standsStillFor == 0.seconds }
+                awaitRunning(long.id, 6)
+                leader!!.nextPause = span
+                awaitCondition(5.seconds, "it has stood still") { leader?.nextPause == 0.seconds }
                 cancel(long.id)
                 submit(spec)
-                until(5.seconds, "what is cancelled is stopped, after $span") { runningOf(long.id) == 0 }
-                untilRunning(spec.id, 6, within = 10.seconds)
+                awaitCondition(5.seconds, "what is cancelled is stopped, after $span") { runningCount(long.id) == 0 }
+                awaitRunning(spec.id, 6, within = 10.seconds)
                 delay(100.milliseconds)
-                assertEquals(emptyList<String>(), broken, "$span")
+                assertEquals(emptyList<String>(), violations, "$span")
             }
         }
     }
--- a/src/test/kotlin/topazvale/UnreadableRecordsTest.kt
+++ b/src/test/kotlin/topazvale/UnreadableRecordsTest.kt
@@ -19,14 +19,14 @@
     fun `starts that cannot be read keep all others back until their leases must have ended`() = runTest {
         val world = FakeCluster(this)
         world.store.commit(emptyList(), listOf(Change.Put("s/9-9", mapOf("starts" to listOf("?")))))
-        world.until(30.seconds, "somebody leads") { world.leader != null }
+        world.awaitCondition(30.seconds, "somebody leads") { world.leader != null }
         world.submit(array)
         val settings = world.settings.workers
         // A former leader may have answered reports for its grace, and a lease lasts on from the last answer.
         delay(settings.cancelLimit - 8.seconds)
         assertEquals(0, world.starts)
-        world.untilDone(array.id)
-        assertEquals(emptyList<String>(), world.broken)
+        world.awaitDone(array.id)
+        assertEquals(emptyList<String>(), world.violations)
     }
 
     /**
@@ -39,18 +39,18 @@
             runTest {
                 val world = FakeCluster(this)
                 world.taskTime = { _, _ -> 300.seconds }
-                world.until(30.seconds, "somebody leads") { world.leader != null }
+                world.awaitCondition(30.seconds, "somebody leads") { world.leader != null }
                 val atLimit = Samples.array.copy(tasks = 8)
                 world.submit(atLimit)
-                world.untilRunning(atLimit.id, 8)
+                world.awaitRunning(atLimit.id, 8)
                 world.submit(atLimit.copy(id = "job-2"))
                 world.store.commit(emptyList(), listOf(Change.Put("j/${atLimit.id}", mapOf("job" to "?"))))
-                world.workers.values.forEach { it.faults.deaf = machinesDeaf }
-                world.leader?.end()
+                world.workers.values.forEach { it.faults.dropsInbound = machinesDeaf }
+                world.leader?.stop()
                 delay(5.seconds)
-                world.workers.values.forEach { it.faults.deaf = false }
-                world.untilRunning("job-2", 8, 120.seconds)
-                assertEquals(emptyList<String>(), world.broken, "machines deaf: $machinesDeaf")
+                world.workers.values.forEach { it.faults.dropsInbound = false }
+                world.awaitRunning("job-2", 8, 120.seconds)
+                assertEquals(emptyList<String>(), world.violations, "machines deaf: $machinesDeaf")
             }
         }
     }
@@ -58,16 +58,16 @@
     @Test
     fun `a job that cannot be read keeps no other from being served`() = runTest {
         val world = FakeCluster(this)
-        world.until(30.seconds, "somebody leads") { world.leader != null }
+        world.awaitCondition(30.seconds, "somebody leads") { world.leader != null }
         world.store.commit(emptyList(), listOf(Change.Put("j/job-unreadable", mapOf("job" to "?"))))
         world.submit(array)
-        world.untilDone(array.id)
-        world.leader?.end()
+        world.awaitDone(array.id)
+        world.leader?.stop()
         delay(10.seconds)
         val second = array.copy(id = "job-2")
         world.submit(second)
-        world.untilDone(second.id)
+        world.awaitDone(second.id)
         assertTrue("j/job-unreadable" in world.store.values.keys)
-        assertEquals(emptyList<String>(), world.broken)
+        assertEquals(emptyList<String>(), world.violations)
     }
 }
--- a/src/test/kotlin/topazvale/WorkerFailuresTest.kt
+++ b/src/test/kotlin/topazvale/WorkerFailuresTest.kt
@@ -12,28 +12,28 @@
     fun `workers that can open no connection are reached by direct commands, over a change of leader`() =
         withCluster(taskTime = 40.seconds) {
             submit(spec.copy(tasks = 20))
-            untilRunning(spec.id, 20)
+            awaitRunning(spec.id, 20)
             val muted = workers.values.take(4)
-            muted.forEach { it.faults.mute = true }
+            muted.forEach { it.faults.dropsReports = true }
             handOver()
             delay(40.seconds)
-            muted.forEach { it.faults.mute = false }
-            untilDone(spec.id)
+            muted.forEach { it.faults.dropsReports = false }
+            awaitDone(spec.id)
         }
 
     @Test
     fun `old reports arrive after newer ones, from earlier sessions and attempts too`() =
         withCluster(taskTime = 8.seconds) {
             for (wait in listOf(3.seconds, 20.seconds)) {
-                copies = wait
+                duplicateReportDelay = wait
                 val job = spec.copy(id = "job-7${wait.inWholeSeconds}", tasks = 30)
                 submit(job)
-                untilRunning(job.id, 5)
-                workers.values.first().faults.reaches = { false }
+                awaitRunning(job.id, 5)
+                workers.values.first().faults.canReach = { false }
                 delay(18.seconds)
-                workers.values.first().faults.reaches = { true }
+                workers.values.first().faults.canReach = { true }
                 handOver()
-                untilDone(job.id)
+                awaitDone(job.id)
             }
         }
 
@@ -48,22 +48,22 @@
         delay(20.seconds)
         cancel(jobs[3].id)
         handOver()
-        (jobs - jobs[3]).forEach { untilDone(it.id, within = 400.seconds) }
+        (jobs - jobs[3]).forEach { awaitDone(it.id, within = 400.seconds) }
     }
 
     @Test
     fun `a command is held up for seconds, and the machine then goes on`() = withCluster(taskTime = 12.seconds) {
         val jobs = (1..5).map { spec.copy(id = "job-2$it", tasks = 10) }
         submit(jobs[0])
-        untilRunning(jobs[0].id, 4)
-        workers.values.forEachIndexed { i, w -> if (i % 2 == 0) w.faults.lateCommands = (3 + i % 9).seconds }
+        awaitRunning(jobs[0].id, 4)
+        workers.values.forEachIndexed { i, w -> if (i % 2 == 0) w.faults.unansweredCommandDelay = (3 + i % 9).seconds }
         jobs.drop(1).forEach { submit(it) }
         delay(8.seconds)
-        workers.values.forEachIndexed { i, w -> if (i % 3 == 0) w.hang((2 + i % 11).seconds) }
+        workers.values.forEachIndexed { i, w -> if (i % 3 == 0) w.pause((2 + i % 11).seconds) }
         cancel(jobs[1].id)
         handOver()
         delay(20.seconds)
-        workers.values.forEach { it.faults.lateCommands = null }
-        (jobs - jobs[1]).forEach { untilDone(it.id) }
+        workers.values.forEach { it.faults.unansweredCommandDelay = null }
+        (jobs - jobs[1]).forEach { awaitDone(it.id) }
     }
 }
--- a/src/test/kotlin/topazvale/api/SubmissionApiTest.kt
+++ b/src/test/kotlin/topazvale/api/SubmissionApiTest.kt
@@ -91,7 +91,7 @@
         val large = array.copy(types = listOf("plain") + List(300) { "type-$it" })
         val record = JobRecords.encode(JobRecord(large, Samples.now, JobStatus.LIVE))
         store.commit(emptyList(), listOf(Change.Put(Keys.job(large.id), record)))
-        store.mostBytes = 2048
+        store.maxValueBytes = 2048
         assertEquals("queued", status(api.poll(large.id)))
         assertEquals(200, submit(JobWire.encodeSpec(large)).status, "resubmission of the large job")
         assertEquals("withdrawn", status(api.cancel(large.id)))
@@ -120,9 +120,9 @@
         val otherCancellations = CancellationLog(1.minutes, Clocks.SYSTEM)
         val otherApi = SubmissionApi(FakeStateService(store), admission, otherCancellations, Clocks.SYSTEM) { true }
         // The response to the commit is lost, so the cancellation may have been carried out.
-        state.losingAnswers = true
+        state.losesResponses = true
         assertEquals(503, api.cancel(array.id).status)
-        state.losingAnswers = false
+        state.losesResponses = false
         assertEquals(setOf(array.id), cancellations.ids)
         assertEquals("withdrawn", status(otherApi.poll(array.id)))
         assertEquals(setOf(array.id), otherCancellations.ids)
--- a/src/test/kotlin/topazvale/emulator/RuleObserver.kt
+++ b/src/test/kotlin/topazvale/emulator/ProtocolObserver.kt
@@ -20,14 +20,14 @@
  * Judges the protocol's rules by what workers ran and users were told alone, at the moment at which each thing happens.
  * Used from one thread.
  */
-class RuleObserver(private val settings: Settings, private val clocks: Clocks) {
+class ProtocolObserver(private val settings: Settings, private val clocks: Clocks) {
     private class Told(val status: String, val since: ComparableTimeMark)
 
     private val began = clocks.mark()
     private val cancelLimit = settings.workers.cancelLimit
 
     /** For how long after its job was told to be done a task may still begin: a command may have been on its way. */
-    var commandLimit: Duration = cancelLimit
+    var maxCommandDelay: Duration = cancelLimit
 
     /** The jobs whose descriptions users have uploaded. */
     val jobs = HashMap<String, JobSpec>()
@@ -43,7 +43,7 @@
         private set
 
     /** Tasks that workers have begun after a user was told that their job is done. */
-    val beginsAfterDone = ArrayList<String>()
+    val attemptsAfterDone = ArrayList<String>()
     private val results = HashSet<String>()
     private val told = HashMap<String, Told>()
     private val places = HashMap<String, MutableList<Place>>()
@@ -54,36 +54,37 @@
     val running: Set<String> get() = places.keys.toSet()
 
     /** How many tasks of the job are on a machine. */
-    fun runningOf(id: String) = places.keys.count { it.startsWith("$id/") }
+    fun runningCount(id: String) = places.keys.count { it.startsWith("$id/") }
 
     /** Whether the task has completed somewhere: its result is kept. */
     fun hasResult(task: String) = task in results
 
     /** The task has completed. */
-    fun completed(task: String) {
+    fun recordCompletion(task: String) {
         results += task
     }
 
     /** All tasks of the job but the last one have completed, and nobody was told that it is over. */
-    fun isEnding(spec: JobSpec) = !isOver(spec.id) && (0 until spec.tasks).count { "${spec.id}/$it" !in results } <= 1
+    fun isAboutToFinish(spec: JobSpec) =
+        !isFinished(spec.id) && (0 until spec.tasks).count { "${spec.id}/$it" !in results } <= 1
 
     /** The job is called done or cancelled. */
-    fun isOver(id: String) = told[id]?.status in FINAL
+    fun isFinished(id: String) = told[id]?.status in FINAL
 
     /**
      * A worker begins a task, be it only to end it at once by the result that it has kept. Not one of the protocol's
      * rules, but no command is held up for as long as a cancellation may take, and nothing else begins work that is done.
      */
-    fun begins(host: String, task: String) {
+    fun recordAttempt(host: String, task: String) {
         val done = told[jobOf(task)]?.takeIf { it.status == DONE } ?: return
         val since = done.since.elapsedNow()
         val what = "$task begins on $host $since after its job was done"
-        beginsAfterDone += what
-        if (since > commandLimit) broken("ran_after_end", what)
+        attemptsAfterDone += what
+        if (since > maxCommandDelay) broken("ran_after_end", what)
     }
 
     /** A task is on a machine from now on. */
-    fun started(host: String, market: Market, task: String, spec: JobSpec) {
+    fun recordStart(host: String, market: Market, task: String, spec: JobSpec) {
         starts++
         refresh()
         val on = places.getOrPut(task) { ArrayList() }
@@ -98,7 +99,7 @@
     }
 
     /** A task is on the machine no more. */
-    fun left(host: String, task: String) {
+    fun recordStop(host: String, task: String) {
         val on = places[task] ?: return
         val place = on.firstOrNull { it.host == host } ?: return
         on -= place
@@ -106,7 +107,7 @@
     }
 
     /** To be called regularly: cancelled tasks have to be gone in time. */
-    fun checkCancelled() {
+    fun checkCancellations() {
         for (task in places.keys) {
             val since = cancelledFor(jobOf(task)) ?: continue
             if (since > cancelLimit) broken("ran_cancelled", "$task is there $since after its cancellation")
@@ -117,7 +118,7 @@
      * A user got an answer about a job that was accepted before, to a request sent at [asked]; the status it tells, if
      * any. An answer may be older than another that came first, if it was asked for before that.
      */
-    fun told(id: String, answer: ApiResponse, asked: ComparableTimeMark): String? {
+    fun recordResponse(id: String, answer: ApiResponse, asked: ComparableTimeMark): String? {
         val status = if (answer.status in ACCEPTED) Cbor.decodeMap(answer.body)["status"] as String else null
         val known = told[id]
         val before = known?.status
--- a/src/test/kotlin/topazvale/emulator/RuleObserverTest.kt
+++ b/src/test/kotlin/topazvale/emulator/ProtocolObserverTest.kt
@@ -14,20 +14,20 @@
 import kotlin.time.TestTimeSource
 
 /** What judges others is tried with planted violations. */
-class RuleObserverTest {
+class ProtocolObserverTest {
     private val time = TestTimeSource()
     private val clocks = Clocks(time, Clock.System)
-    private var observer = RuleObserver(Settings.parse(SettingsTest.TEXT), clocks)
+    private var observer = ProtocolObserver(Settings.parse(SettingsTest.TEXT), clocks)
     private val inA = Market("plain", "a", spot = false)
     private val inB = inA.copy(zone = "b")
 
     private fun job(spec: JobSpec) = spec.also { observer.jobs[it.id] = it }
 
-    private fun RuleObserver.start(host: String, market: Market, spec: JobSpec, index: Int) =
-        started(host, market, "${spec.id}/$index", spec)
+    private fun ProtocolObserver.start(host: String, market: Market, spec: JobSpec, index: Int) =
+        recordStart(host, market, "${spec.id}/$index", spec)
 
     private fun tell(status: String, code: Int = 200, asked: kotlin.time.ComparableTimeMark = clocks.mark()) =
-        observer.told("job-1", ApiResponse.of(code, mapOf("uid" to "job-1", "status" to status)), asked)
+        observer.recordResponse("job-1", ApiResponse.of(code, mapOf("uid" to "job-1", "status" to status)), asked)
 
     @Test
     fun `each planted violation is found, and what is allowed is not`() {
@@ -36,7 +36,7 @@
             null to {
                 val spec = job(array)
                 observer.start("n-1", inA, spec, 0)
-                observer.left("n-1", "job-1/0")
+                observer.recordStop("n-1", "job-1/0")
                 observer.start("n-2", inB, spec, 0)
             },
             "ran_twice" to {
@@ -67,7 +67,7 @@
                 observer.start("n-1", inA, job(array), 0)
                 tell("withdrawn")
                 time += 45.seconds
-                observer.checkCancelled()
+                observer.checkCancellations()
             },
             "ran_cancelled" to {
                 val spec = job(array)
@@ -98,7 +98,7 @@
             },
         )
         cases.forEachIndexed { number, (rule, plant) ->
-            observer = RuleObserver(Settings.parse(SettingsTest.TEXT), clocks)
+            observer = ProtocolObserver(Settings.parse(SettingsTest.TEXT), clocks)
             plant()
             assertEquals(listOfNotNull(rule), observer.violations.map { it.rule }.distinct(), "case $number")
         }
--- a/src/test/kotlin/topazvale/emulator/UserEmulator.kt
+++ b/src/test/kotlin/topazvale/emulator/UserEmulator.kt
@@ -11,7 +11,7 @@
 
 /** Users by the protocol: they ask again until they get an answer that settles the matter, and note what they are told. */
 class UserEmulator(
-    private val observer: RuleObserver,
+    private val observer: ProtocolObserver,
     private val clocks: Clocks,
     private val anyController: suspend () -> ControllerPort,
 ) {
@@ -27,7 +27,7 @@
                 if (answer.status <=
                     HttpStatus.CREATED
                 ) {
-                    observer.told(spec.id, answer, asked)
+                    observer.recordResponse(spec.id, answer, asked)
                 } else {
                     observer.jobs.remove(spec.id)
                 }
@@ -63,7 +63,7 @@
         ) {
             null
         } else {
-            observer.told(id, answer, asked)
+            observer.recordResponse(id, answer, asked)
         }
     }
 
--- a/src/test/kotlin/topazvale/emulator/WorkerEmulator.kt
+++ b/src/test/kotlin/topazvale/emulator/WorkerEmulator.kt
@@ -27,7 +27,7 @@
     val host: String,
     val endpoint: String,
     val market: Market,
-    private val world: WorkerWorld,
+    private val world: WorkerEnvironment,
     private val scope: CoroutineScope,
     private val clockRate: Double = 1.0,
 ) {
@@ -51,7 +51,7 @@
     private val answerLimit = ANSWER_LIMIT / clockRate
 
     /** When its machine was rented. */
-    val began: ComparableTimeMark = clocks.mark()
+    val rentedAt: ComparableTimeMark = clocks.mark()
 
     /** What goes wrong with its messages. */
     val faults = WorkerFaults()
@@ -68,7 +68,7 @@
     private val hangs get() = hangsUntil?.hasNotPassedNow() == true
 
     /** The tasks that are on the machine. */
-    val on: List<String> get() = tasks.filterValues { it.isOn }.keys.map { it.task }
+    val runningTasks: List<String> get() = tasks.filterValues { it.isOn }.keys.map { it.task }
 
     /** Begins to report and to live. */
     fun start() {
@@ -77,19 +77,19 @@
     }
 
     /** Stands still for that long. */
-    fun hang(span: Duration) {
+    fun pause(span: Duration) {
         hangsUntil = clocks.mark() + span
     }
 
     /** The machine is gone, and all that was on it. */
-    fun gone() {
+    fun terminate() {
         alive = false
-        for ((key, task) in tasks) if (task.isOn) observer.left(host, key.task)
+        for ((key, task) in tasks) if (task.isOn) observer.recordStop(host, key.task)
         tasks.clear()
     }
 
     /** The task ends by itself. */
-    fun end(task: String, cause: String) {
+    fun exitTask(task: String, cause: String) {
         for ((key, t) in tasks) if (key.task == task && t.isThere) exit(key, t, cause)
     }
 
@@ -97,7 +97,7 @@
         while (alive) {
             delay(TICK)
             // A machine that stands still may go on within its lease, and not after it.
-            lapseIfOver()
+            expireLeaseIfDue()
             if (hangs) continue
             delayedByHang.toList().also { delayedByHang.clear() }.forEach { it() }
             for ((key, task) in tasks.entries.map { it.key to it.value }) if (tasks[key] === task) advance(key, task)
@@ -112,27 +112,27 @@
     private fun begin(key: Key, task: Task) {
         changed = true
         val spec = observer.jobs.getValue(JobWire.parseTaskId(key.task)!!.job)
-        observer.begins(host, key.task)
+        observer.recordAttempt(host, key.task)
         if (observer.hasResult(key.task) && !spec.isService) {
             task.status = "exited"
             task.cause = "done"
             return
         }
         task.status = "running"
-        world.note(host, "${key.task} attempt ${key.attempt} is on")
-        observer.started(host, market, key.task, spec)
+        world.recordEvent(host, "${key.task} attempt ${key.attempt} is on")
+        observer.recordStart(host, market, key.task, spec)
     }
 
     /** Ends the session if its lease is over; called by those who judge what runs, as a busy process may be late. */
-    fun lapseIfOver() {
+    fun expireLeaseIfDue() {
         if (alive && leaseFrom.elapsedNow() > lease) lapse()
     }
 
     private fun lapse() {
         for ((key, task) in tasks) {
-            if (task.isThere) world.note(host, "${key.task} attempt ${key.attempt} is killed, the lease is over")
+            if (task.isThere) world.recordEvent(host, "${key.task} attempt ${key.attempt} is killed, the lease is over")
         }
-        for ((key, task) in tasks) if (task.isOn) observer.left(host, key.task)
+        for ((key, task) in tasks) if (task.isOn) observer.recordStop(host, key.task)
         tasks.clear()
         session++
         leaseFrom = clocks.mark()
@@ -154,7 +154,7 @@
         if (from > token) changed = true
         token = from
         for (order in orders) {
-            world.note(host, "told $order under token $from in session $session")
+            world.recordEvent(host, "told $order under token $from in session $session")
             when (order) {
                 is Order.Run -> run(key(order.start))
                 is Order.Stop -> key(order.start).let { key -> tasks[key]?.let { if (it.isThere) stop(key, it) } }
@@ -184,25 +184,25 @@
     }
 
     private fun exit(key: Key, task: Task, cause: String) {
-        if (task.isOn) observer.left(host, key.task)
+        if (task.isOn) observer.recordStop(host, key.task)
         task.status = "exited"
         task.cause = cause
         changed = true
-        world.note(host, "${key.task} attempt ${key.attempt} exits: $cause")
-        if (cause == "done") observer.completed(key.task)
+        world.recordEvent(host, "${key.task} attempt ${key.attempt} exits: $cause")
+        if (cause == "done") observer.recordCompletion(key.task)
     }
 
     /** `POST /commands`; null: no answer comes. */
     suspend fun command(from: Long, of: Long, orders: List<Order>): DirectAnswer? {
         delay(faults.commandDelay())
-        if (faults.deaf || !alive) return null.also { delay(GIVEN_UP) }
+        if (faults.dropsInbound || !alive) return null.also { delay(GIVEN_UP) }
         fun act(): DirectAnswer {
-            lapseIfOver()
+            expireLeaseIfDue()
             val accepted = from >= token && of == session
             if (accepted) execute(from, orders)
             return DirectAnswer(if (accepted) HttpStatus.OK else HttpStatus.CONFLICT, report())
         }
-        faults.lateCommands?.let { wait ->
+        faults.unansweredCommandDelay?.let { wait ->
             scope.launch {
                 delay(wait)
                 if (alive) act()
@@ -214,12 +214,12 @@
             return null.also { delay(GIVEN_UP) }
         }
         val answer = act()
-        delay(faults.commandAnswerDelay())
+        delay(faults.commandResponseDelay())
         return answer
     }
 
     private suspend fun reporting() {
-        delay((began.elapsedNow() + FIRST_REPORT))
+        delay((rentedAt.elapsedNow() + FIRST_REPORT))
         while (alive) {
             if (!hangs) beat()
             var waited = Duration.ZERO
@@ -239,7 +239,7 @@
         copy(body)
         val held = hold(body)
         val controller = world.controller(member)
-        if (faults.mute || held || controller == null || !faults.reaches(member)) {
+        if (faults.dropsReports || held || controller == null || !faults.canReach(member)) {
             delay(if (controller == null) REFUSED_AFTER else answerLimit)
             at++
             return delay(NEXT_NODE_AFTER)
@@ -260,16 +260,16 @@
     private suspend fun exchange(controller: ControllerPort, body: ByteArray): ApiResponse? {
         val answer = scope.async {
             delay(faults.reportDelay())
-            controller.report(body).also { delay(faults.answerDelay()) }
+            controller.report(body).also { delay(faults.reportResponseDelay()) }
         }
         val arrived = withTimeoutOrNull(answerLimit) { answer.await() }
-        if (!faults.deaf) return arrived
+        if (!faults.dropsInbound) return arrived
         delay(answerLimit)
         return null
     }
 
     private fun copy(body: ByteArray) {
-        val wait = world.reportCopies ?: return
+        val wait = world.duplicateReportDelay ?: return
         scope.launch {
             delay(wait)
             world.controllers().forEach { it.report(body) }
@@ -277,11 +277,11 @@
     }
 
     private fun hold(body: ByteArray): Boolean {
-        val wait = faults.holdNext ?: return false
-        faults.holdNext = null
+        val wait = faults.nextReportDelay ?: return false
+        faults.nextReportDelay = null
         scope.launch {
             delay(wait)
-            faults.heldArrived = true
+            faults.delayedReportArrived = true
             world.controllers().forEach { it.report(body) }
         }
         return true
--- a/src/test/kotlin/topazvale/emulator/WorkerWorld.kt
+++ b/src/test/kotlin/topazvale/emulator/WorkerEnvironment.kt
@@ -6,18 +6,18 @@
 import kotlin.time.Duration
 
 /** What a worker needs of the world around it. */
-interface WorkerWorld {
+interface WorkerEnvironment {
     val clocks: Clocks
     val limits: WorkerLimits
 
     /** What judges the rules; workers tell it what they run. */
-    val observer: RuleObserver
+    val observer: ProtocolObserver
 
     /** The names of the controllers, in the order in which workers try them. */
     val members: List<String>
 
     /** Each report's copy arrives at every controller so much later; null: there are no copies. */
-    val reportCopies: Duration?
+    val duplicateReportDelay: Duration?
 
     /** The controller of that name; null: it refuses connections. */
     fun controller(member: String): ControllerPort?
@@ -32,5 +32,5 @@
     fun fetchTime(spec: JobSpec): Duration
 
     /** Takes note of what a worker does; for those who look for the cause of a failure. */
-    fun note(host: String, what: String) = Unit
+    fun recordEvent(host: String, what: String) = Unit
 }
--- a/src/test/kotlin/topazvale/fake/FakeCloud.kt
+++ b/src/test/kotlin/topazvale/fake/FakeCloud.kt
@@ -99,7 +99,7 @@
             if (key in tasks) return
             tasks[key] = Task(attempt, TimeSource.Monotonic.markNow() + taskTime)
             val task = key.substringBefore('#')
-            if (running.merge(task, 1, Int::plus)!! > 1) doubled += task
+            if (running.merge(task, 1, Int::plus)!! > 1) duplicateRuns += task
         }
 
         private fun exit(task: Task, cause: String) {
@@ -112,19 +112,19 @@
     private val workers = ConcurrentHashMap<String, Worker>()
     private var created = 0
     val running = ConcurrentHashMap<String, Int>()
-    val doubled: MutableSet<String> = ConcurrentHashMap.newKeySet()
+    val duplicateRuns: MutableSet<String> = ConcurrentHashMap.newKeySet()
 
     /** Straight orders get no answer and arrive this much later. */
-    var late: Duration? = null
+    var commandDelay: Duration? = null
 
     /** Machines whose reports arrive, and which neither answers nor straight orders reach. */
-    val deaf: MutableSet<String> = ConcurrentHashMap.newKeySet()
+    val hostsDroppingInbound: MutableSet<String> = ConcurrentHashMap.newKeySet()
 
     /** A copy of each report arrives once more, this much later. */
-    var copies: Duration? = null
+    var duplicateReportDelay: Duration? = null
 
     /** The node that no worker reaches. */
-    var unreachable: Int? = null
+    var unreachablePort: Int? = null
 
     override suspend fun listMachineTypes() = types
 
@@ -148,8 +148,9 @@
     }
 
     override suspend fun command(endpoint: String, token: Long, session: Long, orders: List<Order>): Report? {
-        val worker = workers["n-${endpoint.substringAfterLast(':')}"]?.takeIf { it.host !in deaf } ?: return null
-        val wait = late
+        val worker =
+            workers["n-${endpoint.substringAfterLast(':')}"]?.takeIf { it.host !in hostsDroppingInbound } ?: return null
+        val wait = commandDelay
         if (wait != null) {
             scope.launch {
                 delay(wait)
@@ -168,13 +169,13 @@
                 null
             } else {
                 val port = ports[worker.at % ports.size]
-                if (port == unreachable) {
+                if (port == unreachablePort) {
                     null
                 } else {
                     beat(port, Cbor.encode(worker.report()))
                 }
             }
-            if (worker.host in deaf) {
+            if (worker.host in hostsDroppingInbound) {
                 worker.lapse()
             } else if (reply?.status == 200) {
                 val body = Cbor.decodeMap(reply.body)
@@ -187,7 +188,7 @@
     }
 
     private suspend fun beat(port: Int, body: ByteArray): HttpResponse? {
-        copies?.let { wait ->
+        duplicateReportDelay?.let { wait ->
             scope.launch {
                 delay(wait)
                 nodes().forEach {
--- a/src/test/kotlin/topazvale/fake/FakeCluster.kt
+++ b/src/test/kotlin/topazvale/fake/FakeCluster.kt
@@ -14,10 +14,10 @@
 import topazvale.config.Settings
 import topazvale.config.SettingsTest
 import topazvale.emulator.ControllerPort
-import topazvale.emulator.RuleObserver
+import topazvale.emulator.ProtocolObserver
 import topazvale.emulator.UserEmulator
 import topazvale.emulator.WorkerEmulator
-import topazvale.emulator.WorkerWorld
+import topazvale.emulator.WorkerEnvironment
 import topazvale.mesh.PeerClient
 import topazvale.model.Clocks
 import topazvale.model.CloudStatus
@@ -42,7 +42,7 @@
 
 /**
  * Controllers, state service, cloud, workers and users in virtual time. Whoever breaks a rule of the protocol is noted
- * in [broken] at the moment at which it happens, by what the workers do and what the users were told alone.
+ * in [violations] at the moment at which it happens, by what the workers do and what the users were told alone.
  */
 class FakeCluster(
     private val test: TestScope,
@@ -66,8 +66,8 @@
     }
 
     /** Judges the rules by what workers run and users are told. */
-    val observer = RuleObserver(settings, clocks)
-    val broken: List<String> get() = observer.violations.map { it.toString() }
+    val observer = ProtocolObserver(settings, clocks)
+    val violations: List<String> get() = observer.violations.map { it.toString() }
     val jobs get() = observer.jobs
     val running get() = observer.running
     val starts get() = observer.starts
@@ -75,7 +75,7 @@
     private val users = UserEmulator(observer, clocks) { randomNode() }
 
     /** A copy of each report arrives at every node so much later. */
-    var copies: Duration? = null
+    var duplicateReportDelay: Duration? = null
 
     /** The rate of each new worker's clock. */
     var clockRate: () -> Double = { 1.0 }
@@ -85,7 +85,7 @@
         /** What a call of this controller throws instead of being made, by the call's name. */
         var failure: (String) -> Throwable? = { null }
         val state = FakeStateService(store).also {
-            it.later = scope
+            it.delayedWriteScope = scope
             it.failure = { call -> failure(call) }
         }
         private val own = SupervisedScope(scope.coroutineContext, ::endFatally)
@@ -105,7 +105,7 @@
         /** The process ends, and is started again by whoever supervises it. */
         private fun endFatally(cause: Throwable) {
             fatalFailures += cause
-            end()
+            stop()
             scope.launch {
                 delay(RESTART_DELAY)
                 if (name !in nodes) start(name)
@@ -117,7 +117,7 @@
         }
 
         /** For how long the process stands still when it next asks for the time of day, as in the midst of a plan. */
-        var standsStillFor = Duration.ZERO
+        var nextPause = Duration.ZERO
         private var stoodStill = Duration.ZERO
 
         private fun ownClocks() = Clocks(
@@ -127,8 +127,8 @@
             object : Clock {
                 override fun now(): Instant {
                     failIfAsked("now")
-                    stoodStill += standsStillFor
-                    standsStillFor = Duration.ZERO
+                    stoodStill += nextPause
+                    nextPause = Duration.ZERO
                     return clocks.now()
                 }
             },
@@ -144,7 +144,7 @@
             override suspend fun command(endpoint: String, token: Long, session: Long, orders: List<Order>): Report? {
                 failIfAsked("command")
                 val worker = workers["n-" + endpoint.substringAfterLast(':')]
-                val reached = !cutFromWorkers && worker != null && worker.faults.reaches(name)
+                val reached = !cutFromWorkers && worker != null && worker.faults.canReach(name)
                 if (!reached) return null.also { delay(2.seconds) }
                 return worker.command(token, session, orders)?.let { WorkerWire.decodeReport(it.report) }
             }
@@ -171,19 +171,19 @@
 
         override suspend fun cancel(id: String) = controller.submissions.cancel(id)
 
-        fun end() {
+        fun stop() {
             nodes.remove(name)
             controller.close()
             own.cancel()
         }
     }
 
-    private val workerWorld = object : WorkerWorld {
+    private val workerWorld = object : WorkerEnvironment {
         override val clocks = this@FakeCluster.clocks
         override val limits = settings.workers
         override val observer = this@FakeCluster.observer
         override val members = this@FakeCluster.members
-        override val reportCopies get() = copies
+        override val duplicateReportDelay get() = this@FakeCluster.duplicateReportDelay
 
         override fun controller(member: String) = nodes[member]
 
@@ -222,14 +222,14 @@
 
         override suspend fun returnMachines(hosts: List<String>, precondition: () -> Boolean): Boolean {
             delay(100.milliseconds)
-            hosts.forEach { workers.remove(it)?.gone() }
+            hosts.forEach { workers.remove(it)?.terminate() }
             return true
         }
 
         override suspend fun listMachines(): List<ListedMachine> {
             delay(100.milliseconds)
             return workers.values.map {
-                ListedMachine(it.host, it.endpoint, it.market, CloudStatus.RUNNING, it.began.elapsedNow())
+                ListedMachine(it.host, it.endpoint, it.market, CloudStatus.RUNNING, it.rentedAt.elapsedNow())
             }
         }
     }
@@ -239,7 +239,7 @@
         return WorkerEmulator(host, endpoint, market, workerWorld, scope, clockRate())
     }
 
-    fun runningOf(id: String) = observer.runningOf(id)
+    fun runningCount(id: String) = observer.runningCount(id)
 
     private fun now() = test.testScheduler.currentTime.milliseconds
 
@@ -253,7 +253,7 @@
         scope.launch {
             while (true) {
                 delay(100.milliseconds)
-                observer.checkCancelled()
+                observer.checkCancellations()
             }
         }
     }
@@ -277,18 +277,18 @@
 
     suspend fun cancel(id: String, via: Member? = null): String = users.cancel(id, via)
 
-    suspend fun until(within: Duration, what: String, look: suspend () -> Boolean) {
+    suspend fun awaitCondition(within: Duration, what: String, look: suspend () -> Boolean) {
         val end = clocks.mark() + within
         while (!look()) {
-            check(end.hasNotPassedNow()) { "not within $within: $what (at ${now()}; broken so far: $broken)" }
+            check(end.hasNotPassedNow()) { "not within $within: $what (at ${now()}; broken so far: $violations)" }
             delay(100.milliseconds)
         }
     }
 
-    suspend fun untilRunning(id: String, tasks: Int, within: Duration = 60.seconds) =
-        until(within, "$tasks tasks of $id run") { runningOf(id) >= tasks }
+    suspend fun awaitRunning(id: String, tasks: Int, within: Duration = 60.seconds) =
+        awaitCondition(within, "$tasks tasks of $id run") { runningCount(id) >= tasks }
 
-    suspend fun untilDone(id: String, within: Duration = 200.seconds) = until(within, "$id is done") {
+    suspend fun awaitDone(id: String, within: Duration = 200.seconds) = awaitCondition(within, "$id is done") {
         poll(id) ==
             "done"
     }
--- a/src/test/kotlin/topazvale/fake/FakeStateService.kt
+++ b/src/test/kotlin/topazvale/fake/FakeStateService.kt
@@ -30,8 +30,8 @@
     class Value(val data: Map<String, Any?>, val version: Long, val lease: Long?)
 
     /** What a transaction and a value may hold; more is refused as invalid, and what is stored stays. */
-    var mostOps = Int.MAX_VALUE
-    var mostBytes = Int.MAX_VALUE
+    var maxTransactionOps = Int.MAX_VALUE
+    var maxValueBytes = Int.MAX_VALUE
 
     val values = TreeMap<String, Value>()
     private val grants = HashMap<Long, Grant>()
@@ -48,8 +48,8 @@
     fun commit(conditions: List<Condition>, changes: List<Change>): Commit {
         expire()
         if (changes.any { it is Change.Put && it.lease != null && it.lease !in grants }) return Commit.LeaseGone
-        if (changes.size > mostOps ||
-            changes.any { it is Change.Put && Records.size(it.data) > mostBytes }
+        if (changes.size > maxTransactionOps ||
+            changes.any { it is Change.Put && Records.size(it.data) > maxValueBytes }
         ) {
             return Commit.Invalid
         }
@@ -163,13 +163,13 @@
     var watchDelay = Duration.ZERO
 
     /** Transactions are carried out, but their answers get lost. */
-    var losingAnswers = false
+    var losesResponses = false
 
     /** What becomes of the next transactions: each is given up without an answer, and carried out so much later. */
-    val lateWrites = ArrayDeque<Duration>()
+    val delayedWrites = ArrayDeque<Duration>()
 
     /** Where late transactions are carried out. */
-    var later: CoroutineScope? = null
+    var delayedWriteScope: CoroutineScope? = null
     var latency: Duration = 1.milliseconds
     private var last: ComparableTimeMark = store.clocks.mark()
 
@@ -202,9 +202,9 @@
         delay(latency)
         if (hanging) return Commit.Unknown.also { delay(HANGS) }
         if (refusing || store.outage) return Commit.Refused
-        val wait = lateWrites.removeFirstOrNull()
+        val wait = delayedWrites.removeFirstOrNull()
         if (wait != null) {
-            later?.launch {
+            delayedWriteScope?.launch {
                 delay(wait)
                 store.commit(conditions, changes)
             }
@@ -213,7 +213,7 @@
         }
         val commit = store.commit(conditions, changes)
         last = store.clocks.mark()
-        return if (losingAnswers) Commit.Unknown else commit
+        return if (losesResponses) Commit.Unknown else commit
     }
 
     override suspend fun grant(ttl: Duration): Outcome<Long> = call {
--- a/src/test/kotlin/topazvale/leader/ElectionTest.kt
+++ b/src/test/kotlin/topazvale/leader/ElectionTest.kt
@@ -39,7 +39,7 @@
     fun `the record of a previous term of the same process does not count as a successful campaign`() = runTest {
         val clocks = Clocks(testScheduler.timeSource, Clock.System)
         val store = FakeStateStore(clocks)
-        val state = FakeStateService(store).also { it.later = backgroundScope }
+        val state = FakeStateService(store).also { it.delayedWriteScope = backgroundScope }
         val terms = ArrayList<Term>()
         val election =
             Election(
@@ -55,7 +55,7 @@
         store.outage = true
         terms.single().end()
         delay(10.seconds)
-        state.lateWrites += 3.seconds
+        state.delayedWrites += 3.seconds
         // The key could not be deleted and still exists; its lease has its full duration again.
         store.outage = false
         delay(30.seconds)
@@ -99,7 +99,7 @@
         for (delays in cases) {
             val clocks = Clocks(testScheduler.timeSource, Clock.System)
             val store = FakeStateStore(clocks)
-            val state = FakeStateService(store).also { it.later = backgroundScope }
+            val state = FakeStateService(store).also { it.delayedWriteScope = backgroundScope }
             val terms = ArrayList<Term>()
             val election =
                 Election(
@@ -110,12 +110,12 @@
                     clocks,
                     recordTerms(terms),
                 )
-            state.lateWrites += delays
+            state.delayedWrites += delays
             val running = election.start()
             repeat(4) {
                 delay(10.seconds)
                 // The term ends, and the deletion of its key is delayed: the record stays unchanged until then.
-                state.lateWrites += delays
+                state.delayedWrites += delays
                 terms.lastOrNull()?.end()
             }
             delay(30.seconds)
--- a/src/test/kotlin/topazvale/reconcile/JobEndRacesTest.kt
+++ b/src/test/kotlin/topazvale/reconcile/JobEndRacesTest.kt
@@ -35,12 +35,12 @@
     private enum class End(val endJob: suspend Leader.() -> Unit) {
         COMMITTED({ finalizeJobs() }),
         RESPONSE_LOST({
-            state.losingAnswers = true
+            state.losesResponses = true
             finalizeJobs()
-            state.losingAnswers = false
+            state.losesResponses = false
         }),
         APPLIED_LATE({
-            state.lateWrites += 2500.milliseconds
+            state.delayedWrites += 2500.milliseconds
             finalizeJobs()
             delay(1.seconds)
             finalizeJobs()
@@ -115,7 +115,7 @@
             },
         )
         val store = FakeStateStore(clocks)
-        val state = FakeStateService(store).also { it.later = test.backgroundScope }
+        val state = FakeStateService(store).also { it.delayedWriteScope = test.backgroundScope }
         val records = RecordWriter(state, Condition(Keys.LEADER, 1), 16)
         val starts = StartLog(records, 1, 8192)
         val cluster = ClusterState(records, starts, 8192, clocks)
--- a/src/test/kotlin/topazvale/reconcile/RebuildTest.kt
+++ b/src/test/kotlin/topazvale/reconcile/RebuildTest.kt
@@ -154,8 +154,8 @@
             ),
         )
         assertTrue(store.values.values.maxOf { Records.size(it.data) } > SMALL_VALUE_BYTES)
-        store.mostBytes = SMALL_VALUE_BYTES
-        store.mostOps = 8
+        store.maxValueBytes = SMALL_VALUE_BYTES
+        store.maxTransactionOps = 8
         val leader = Leader(2, SMALL_VALUE_BYTES).rebuilt()
         val machines = leader.cluster.machines
         assertEquals(1000, machines.values.sumOf { it.placements.size })
@@ -185,8 +185,8 @@
         val managed = leader.cluster.jobs.getValue(large.id)
         for (i in 0 until large.tasks) leader.cluster.markDone(managed, i)
         leader.cluster.publishCounts(managed)
-        store.mostBytes = SMALL_VALUE_BYTES
-        store.mostOps = 8
+        store.maxValueBytes = SMALL_VALUE_BYTES
+        store.maxTransactionOps = 8
         runBlocking {
             withTimeout(10.seconds) { repeat(6) { leader.records.flushDeferred() } }
             assertEquals(13, store.values.keys.count { it.startsWith(Keys.CHUNKS) })
--- a/src/test/kotlin/topazvale/soak/CloudServer.kt
+++ b/src/test/kotlin/topazvale/soak/CloudServer.kt
@@ -8,7 +8,7 @@
 import topazvale.Samples
 import topazvale.emulator.Orders
 import topazvale.emulator.WorkerEmulator
-import topazvale.emulator.WorkerWorld
+import topazvale.emulator.WorkerEnvironment
 import topazvale.model.MachineType
 import topazvale.model.Market
 import topazvale.net.HttpStatus
@@ -27,7 +27,7 @@
 class CloudServer(
     private val vertx: Vertx,
     private val scope: CoroutineScope,
-    private val world: WorkerWorld,
+    private val world: WorkerEnvironment,
     private val capacity: Int,
     private val random: Random,
     private val log: EventLog,
@@ -54,7 +54,7 @@
     /** The machine stops with all that is on it, and is listed no more. */
     fun take(host: String) {
         log.add(host, "machine is gone")
-        machines.remove(host)?.worker?.gone()
+        machines.remove(host)?.worker?.terminate()
     }
 
     private suspend fun answer(request: StandInRequest): StandInAnswer {
@@ -134,7 +134,7 @@
                 "hall" to machine.market.zone,
                 "standby" to machine.market.spot,
                 "status" to if (machine.up) "running" else "starting",
-                "heldS" to machine.worker.began.elapsedNow().toDouble(DurationUnit.SECONDS),
+                "heldS" to machine.worker.rentedAt.elapsedNow().toDouble(DurationUnit.SECONDS),
             )
         }
         val page = listed.take(PAGE)
--- a/src/test/kotlin/topazvale/soak/SoakCluster.kt
+++ b/src/test/kotlin/topazvale/soak/SoakCluster.kt
@@ -7,9 +7,9 @@
 import topazvale.Samples
 import topazvale.config.Address
 import topazvale.config.Settings
-import topazvale.emulator.RuleObserver
+import topazvale.emulator.ProtocolObserver
 import topazvale.emulator.UserEmulator
-import topazvale.emulator.WorkerWorld
+import topazvale.emulator.WorkerEnvironment
 import topazvale.fake.FakeStateStore
 import topazvale.model.Clocks
 import topazvale.model.JobSpec
@@ -71,14 +71,14 @@
     private val folder: Path,
     val random: Random,
     val log: EventLog,
-) : WorkerWorld {
+) : WorkerEnvironment {
     /** What the state service holds. */
     val store = FakeStateStore()
     override val clocks = Clocks.SYSTEM
     override val members = List(options.controllers) { "node-$it" }
     private val settings = Settings.parse(SoakSettings(members.first(), 1, 1, emptyList(), 1, 1, options).text())
     override val limits = settings.workers
-    override val observer = RuleObserver(settings, clocks)
+    override val observer = ProtocolObserver(settings, clocks)
     private val http = Http(vertx, maxConnections = options.workers + USER_CONNECTIONS, connectTimeout = 1.seconds)
 
     /** The machines and their workers. */
@@ -89,12 +89,12 @@
 
     /** What users do. */
     val users = UserEmulator(observer, clocks) { nodes.values.random(random).port }
-    override var reportCopies: Duration? = null
+    override var duplicateReportDelay: Duration? = null
 
     /** Starts stand-ins and controllers. */
     suspend fun start() {
-        observer.commandLimit = options.longestCommand
-        observer.refresh = { cloud.workers.forEach { it.lapseIfOver() } }
+        observer.maxCommandDelay = options.longestCommand
+        observer.refresh = { cloud.workers.forEach { it.expireLeaseIfDue() } }
         val cloudPort = cloud.listen()
         val binds = Ports.take(members.size)
         val meshes = Ports.take(members.size)
@@ -145,7 +145,7 @@
 
     override fun fetchTime(spec: JobSpec): Duration = FETCH * ((spec.image.hashCode()).mod(SPREAD) / SPREAD.toDouble())
 
-    override fun note(host: String, what: String) = log.add(host, what)
+    override fun recordEvent(host: String, what: String) = log.add(host, what)
 
     private companion object {
         const val USER_CONNECTIONS = 50
--- a/src/test/kotlin/topazvale/soak/SoakRun.kt
+++ b/src/test/kotlin/topazvale/soak/SoakRun.kt
@@ -117,7 +117,7 @@
         while (true) {
             delay(WATCH_EVERY)
             cluster.observer.refresh()
-            cluster.observer.checkCancelled()
+            cluster.observer.checkCancellations()
         }
     }
 
--- a/src/test/kotlin/topazvale/soak/Troubles.kt
+++ b/src/test/kotlin/topazvale/soak/Troubles.kt
@@ -61,52 +61,58 @@
                 delay(between(200, 500))
             }
             workers.forEach {
-                it.faults.mute = true
-                it.faults.deaf = true
+                it.faults.dropsReports = true
+                it.faults.dropsInbound = true
             }
             delay(cluster.limits.lease + between(1000, 5000))
         } finally {
             workers.forEach {
                 it.faults.reportDelay = { USUAL }
-                it.faults.mute = false
-                it.faults.deaf = false
+                it.faults.dropsReports = false
+                it.faults.dropsInbound = false
             }
         }
     }),
     ANSWERS_SLOW({
-        toWorkers(MANY, { answerDelay = { random.nextInt(1500).milliseconds } }, { answerDelay = { USUAL } })
+        toWorkers(MANY, { reportResponseDelay = { random.nextInt(1500).milliseconds } }, {
+            reportResponseDelay =
+                { USUAL }
+        })
     }),
     DIRECT_COMMANDS_SLOW({
         toWorkers(MANY, { commandDelay = { random.nextInt(1500).milliseconds } }, { commandDelay = { USUAL } })
     }),
     DIRECT_ANSWERS_SLOW({
         val slow = { random.nextInt(1500).milliseconds }
-        toWorkers(MANY, { commandAnswerDelay = slow }, { commandAnswerDelay = { USUAL } })
+        toWorkers(MANY, { commandResponseDelay = slow }, { commandResponseDelay = { USUAL } })
     }),
     DIRECT_COMMANDS_LATE({
-        toWorkers(FEW, { lateCommands = random.nextInt(1000, 12_000).milliseconds }, { lateCommands = null })
+        toWorkers(FEW, { unansweredCommandDelay = random.nextInt(1000, 12_000).milliseconds }, {
+            unansweredCommandDelay =
+                null
+        })
     }),
     WORKERS_CUT_OFF({
         toWorkers(
             FEW,
             {
-                mute = true
-                deaf = true
+                dropsReports = true
+                dropsInbound = true
             },
             {
-                mute = false
-                deaf = false
+                dropsReports = false
+                dropsInbound = false
             },
         )
     }),
-    WORKERS_DEAF({ toWorkers(FEW, { deaf = true }, { deaf = false }) }),
-    WORKERS_MUTE({ toWorkers(FEW, { mute = true }, { mute = false }) }),
-    WORKERS_HANG({ some(FEW).forEach { it.hang(between(500, 8000)) } }),
+    WORKERS_DEAF({ toWorkers(FEW, { dropsInbound = true }, { dropsInbound = false }) }),
+    WORKERS_MUTE({ toWorkers(FEW, { dropsReports = true }, { dropsReports = false }) }),
+    WORKERS_HANG({ some(FEW).forEach { it.pause(between(500, 8000)) } }),
     MACHINES_GONE({ some(FEW).take(2).forEach { cluster.cloud.take(it.host) } }),
-    REPORTS_HELD({ some(MANY).forEach { it.faults.holdNext = between(1000, 12_000) } }),
+    REPORTS_HELD({ some(MANY).forEach { it.faults.nextReportDelay = between(1000, 12_000) } }),
     REPORT_COPIES({
         val late = between(500, 9000)
-        during(between(2000, 8000), { cluster.reportCopies = late }, { cluster.reportCopies = null })
+        during(between(2000, 8000), { cluster.duplicateReportDelay = late }, { cluster.duplicateReportDelay = null })
     }),
     CLOUD_OUTAGE({ during(between(1000, 8000), { cluster.cloud.outage = true }, { cluster.cloud.outage = false }) }),
     WATCHES_TOO_OLD({
--- a/src/test/kotlin/topazvale/soak/Workload.kt
+++ b/src/test/kotlin/topazvale/soak/Workload.kt
@@ -37,13 +37,16 @@
 
     /** Users cancel [count] jobs that are not over, at once. */
     fun cancelSome(count: Int) {
-        val open = accepted.keys.filter { it !in cancelled && !cluster.observer.isOver(it) }
+        val open = accepted.keys.filter { it !in cancelled && !cluster.observer.isFinished(it) }
         open.shuffled(random).take(count).forEach(::cancel)
     }
 
     /** Users cancel a job that is about to end, if there is one. */
     fun cancelEnding() {
-        val ending = accepted.values.filter { it.id !in cancelled && !it.isService && cluster.observer.isEnding(it) }
+        val ending = accepted.values.filter {
+            it.id !in cancelled && !it.isService &&
+                cluster.observer.isAboutToFinish(it)
+        }
         ending.randomOrNull(random)?.let { cancel(it.id) }
     }
 
@@ -53,7 +56,7 @@
     }
 
     /** Asks once about each job that is not known to be over; those that are still open. */
-    suspend fun open(): List<JobSpec> = accepted.values.filter { !cluster.observer.isOver(it.id) }
+    suspend fun open(): List<JobSpec> = accepted.values.filter { !cluster.observer.isFinished(it.id) }
         .filter { cluster.users.poll(it.id) !in FINAL }
 
     private suspend fun submitting(span: Duration) {
--- a/src/test/kotlin/topazvale/store/RecordWriterTest.kt
+++ b/src/test/kotlin/topazvale/store/RecordWriterTest.kt
@@ -76,8 +76,8 @@
     @Test
     fun `what the state service rejects as too large is not sent unchanged forever`() = runBlocking {
         val records = RecordWriter(state, becomeLeader(), opsLimit = 16)
-        store.mostOps = 3
-        store.mostBytes = 200
+        store.maxTransactionOps = 3
+        store.maxValueBytes = 200
         (1..10).forEach { i -> records.put("m/$i") { mapOf("v" to i) } }
         withTimeout(5.seconds) { records.flush() }
         assertEquals(10, store.values.keys.count { it.startsWith("m/") })
