--- a/src/test/kotlin/topazvale/soak/CloudServer.kt
+++ b/src/test/kotlin/topazvale/soak/CloudServer.kt
@@ -18,53 +18,53 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.DurationUnit
 
-/** A machine of the cloud's: its worker begins to report once it has booted. */
+/** A rented machine. Its worker starts to report when the machine has booted. */
 class CloudMachine(val worker: WorkerEmulator, val market: Market) {
-    var up = false
+    var isUp = false
 }
 
-/** The cloud's protocol, with its machines' workers in this process. */
+/** A stand-in server for the cloud's protocol. The workers of its machines run in this process. */
 class CloudServer(
     private val vertx: Vertx,
     private val scope: CoroutineScope,
-    private val world: WorkerEnvironment,
+    private val environment: WorkerEnvironment,
     private val capacity: Int,
     private val random: Random,
     private val log: EventLog,
 ) {
-    private val server = HttpStandIn(vertx, scope, ::answer)
+    private val server = HttpStandIn(vertx, scope, ::respond)
     private val bookings = HashMap<String, List<String>>()
-    private var rented = 0
+    private var rentedCount = 0
 
-    /** What the cloud lists, by name. */
+    /** The machines that the cloud lists, by host name. */
     val machines = LinkedHashMap<String, CloudMachine>()
 
-    /** Each call is refused with 503. */
+    /** Whether each call is refused with status 503. */
     var outage = false
 
-    /** The next machine list is larger than its caller has memory for. */
-    var nextListTooLarge = false
+    /** Whether the next machine list exceeds the memory of its caller. */
+    var nextListOversized = false
 
-    /** The machines that are up. */
-    val workers: List<WorkerEmulator> get() = machines.values.filter { it.up }.map { it.worker }
+    /** The workers of the machines that have booted. */
+    val workers: List<WorkerEmulator> get() = machines.values.filter { it.isUp }.map { it.worker }
 
-    /** Starts listening; the port. */
+    /** Starts listening and returns the port. */
     suspend fun listen(): Int = server.listen()
 
-    /** The machine stops with all that is on it, and is listed no more. */
-    fun take(host: String) {
-        log.add(host, "machine is gone")
+    /** Removes the machine with all its tasks, also from the list. */
+    fun removeMachine(host: String) {
+        log.add(host, "machine is removed")
         machines.remove(host)?.worker?.terminate()
     }
 
-    private suspend fun answer(request: StandInRequest): StandInAnswer {
+    private suspend fun respond(request: StandInRequest): StandInResponse {
         delay(LATENCY)
-        if (outage) return StandInAnswer(HttpStatus.UNAVAILABLE, mapOf("error" to "trouble"))
+        if (outage) return StandInResponse(HttpStatus.UNAVAILABLE, mapOf("error" to "trouble"))
         return when (request.path) {
-            "/flavors" -> StandInAnswer(HttpStatus.OK, mapOf("flavors" to Samples.types.values.map(::flavor)))
+            "/flavors" -> StandInResponse(HttpStatus.OK, mapOf("flavors" to Samples.types.values.map(::flavor)))
             "/hosts/release" -> release(request)
             "/hosts" -> if (request.method == HttpMethod.POST) rent(request) else list(request)
-            else -> StandInAnswer(HttpStatus.BAD_REQUEST, mapOf("error" to "no such path"))
+            else -> StandInResponse(HttpStatus.BAD_REQUEST, mapOf("error" to "no such path"))
         }
     }
 
@@ -77,23 +77,23 @@
         "fetchGbPerS" to type.fetchGbPerS,
         "hourly" to type.price,
         "marketPrice" to type.spotPrice,
-        "readyS" to BOOT.toDouble(DurationUnit.SECONDS),
+        "readyS" to BOOT_TIME.toDouble(DurationUnit.SECONDS),
         "halls" to type.zones,
     )
 
-    private suspend fun rent(request: StandInRequest): StandInAnswer {
+    private suspend fun rent(request: StandInRequest): StandInResponse {
         val booking = request.fields["booking"] as String
         val hosts = bookings[booking] ?: rentNew(request)
-        if (hosts.isEmpty()) return StandInAnswer(HttpStatus.UNAVAILABLE, mapOf("error" to "no capacity"))
+        if (hosts.isEmpty()) return StandInResponse(HttpStatus.UNAVAILABLE, mapOf("error" to "no capacity"))
         bookings[booking] = hosts
-        return StandInAnswer(HttpStatus.OK, mapOf("hosts" to hosts))
+        return StandInResponse(HttpStatus.OK, mapOf("hosts" to hosts))
     }
 
     private suspend fun rentNew(request: StandInRequest): List<String> {
         val fields = request.fields
         val market = Market(fields["flavor"] as String, fields["hall"] as String, fields["standby"] as Boolean)
         val count = minOf((fields["howMany"] as Long).toInt(), capacity - machines.size)
-        return List(count.coerceAtLeast(0)) { boot("n-%06d".format(++rented), market) }
+        return List(count.coerceAtLeast(0)) { boot("n-%06d".format(++rentedCount), market) }
     }
 
     private suspend fun boot(host: String, market: Market): String {
@@ -101,31 +101,31 @@
         val commands = HttpStandIn(vertx, scope) { request -> command(worker, request) }
         val endpoint = "${HttpStandIn.LOOPBACK}:${commands.listen()}"
         val rate = 1.0 + random.nextDouble(-CLOCK_DRIFT, CLOCK_DRIFT)
-        worker = WorkerEmulator(host, endpoint, market, world, scope, rate)
+        worker = WorkerEmulator(host, endpoint, market, environment, scope, rate)
         val machine = CloudMachine(worker, market)
         machines[host] = machine
         scope.launch {
-            delay(BOOT * random.nextDouble(LEAST_BOOT, MOST_BOOT))
-            machine.up = true
+            delay(BOOT_TIME * random.nextDouble(MIN_BOOT_FACTOR, MAX_BOOT_FACTOR))
+            machine.isUp = true
             worker.start()
         }
         return host
     }
 
-    private suspend fun command(worker: WorkerEmulator, request: StandInRequest): StandInAnswer? {
+    private suspend fun command(worker: WorkerEmulator, request: StandInRequest): StandInResponse? {
         val token = request.fields["epoch"] as Long
         val session = request.fields["shift"] as Long
         val orders = (request.fields["orders"] as List<*>).map(Orders::decode)
-        val answer = worker.command(token, session, orders) ?: return null
-        return StandInAnswer(answer.status, answer.report)
+        val response = worker.command(token, session, orders) ?: return null
+        return StandInResponse(response.status, response.report)
     }
 
-    private fun release(request: StandInRequest): StandInAnswer {
-        for (host in request.fields["hosts"] as List<*>) take(host as String)
-        return StandInAnswer(HttpStatus.OK, emptyMap())
+    private fun release(request: StandInRequest): StandInResponse {
+        for (host in request.fields["hosts"] as List<*>) removeMachine(host as String)
+        return StandInResponse(HttpStatus.OK, emptyMap())
     }
 
-    private fun list(request: StandInRequest): StandInAnswer {
+    private fun list(request: StandInRequest): StandInResponse {
         val listed = machines.filterKeys { it > request.parameter("since") }.map { (host, machine) ->
             mapOf(
                 "uid" to host,
@@ -133,23 +133,27 @@
                 "flavor" to machine.market.type,
                 "hall" to machine.market.zone,
                 "standby" to machine.market.spot,
-                "status" to if (machine.up) "running" else "starting",
+                "status" to if (machine.isUp) "running" else "starting",
                 "heldS" to machine.worker.rentedAt.elapsedNow().toDouble(DurationUnit.SECONDS),
             )
         }
-        val page = listed.take(PAGE)
-        val paddingMb = if (nextListTooLarge) TOO_LARGE_MB else 0
-        if (nextListTooLarge) log.add("cloud", "answers with a list of $TOO_LARGE_MB MB")
-        nextListTooLarge = false
-        return StandInAnswer(HttpStatus.OK, mapOf("hosts" to page, "truncated" to (listed.size > PAGE)), paddingMb)
+        val page = listed.take(PAGE_SIZE)
+        val paddingMb = if (nextListOversized) OVERSIZED_LIST_MB else 0
+        if (nextListOversized) log.add("cloud", "responds with a list of $OVERSIZED_LIST_MB MB")
+        nextListOversized = false
+        return StandInResponse(
+            HttpStatus.OK,
+            mapOf("hosts" to page, "truncated" to (listed.size > PAGE_SIZE)),
+            paddingMb,
+        )
     }
 
     private companion object {
-        val BOOT: Duration = 2.seconds
-        const val LEAST_BOOT = 0.3
-        const val MOST_BOOT = 1.5
-        const val PAGE = 500
-        const val TOO_LARGE_MB = 300
+        val BOOT_TIME: Duration = 2.seconds
+        const val MIN_BOOT_FACTOR = 0.3
+        const val MAX_BOOT_FACTOR = 1.5
+        const val PAGE_SIZE = 500
+        const val OVERSIZED_LIST_MB = 300
         const val CLOCK_DRIFT = 0.0005
         val LATENCY = 20.milliseconds
     }
--- a/src/test/kotlin/topazvale/soak/ControllerProcess.kt
+++ b/src/test/kotlin/topazvale/soak/ControllerProcess.kt
@@ -5,9 +5,9 @@
 import java.util.concurrent.TimeUnit
 import kotlin.concurrent.thread
 
-/** How the packaged program is started: the command of the deploy file, run in the folder of a build. */
+/** The packaged program, started by the run command of the deploy file in the folder of a build. */
 class Program(val folder: Path) {
-    /** The command and its arguments, with the settings file as the last one. */
+    /** The command and its arguments; the settings file is the last one. */
     fun command(settings: Path): List<String> {
         val deploy = folder.resolve("deploy/service.toml").toFile().readText()
         val run = Regex("""(?m)^run = "(.*)"$""").find(deploy) ?: error("no run command in $folder/deploy/service.toml")
@@ -15,7 +15,7 @@
     }
 }
 
-/** One controller as a real process, which can be ended without a word, stopped and continued. */
+/** One controller as a real process, which can be killed without a shutdown, paused and resumed. */
 class ControllerProcess(
     val member: String,
     private val program: Program,
@@ -27,17 +27,17 @@
     private var killed = false
 
     init {
-        // A soak that is ended leaves no controllers behind.
+        // Kills the controller when the soak itself is terminated.
         Runtime.getRuntime().addShutdownHook(Thread { process?.destroyForcibly() })
     }
 
-    /** Whether the process is there, running or stopped. */
+    /** Whether the process exists, running or paused. */
     val alive: Boolean get() = process?.isAlive == true
 
-    /** With what status the process has ended by itself; null while it is there or was killed. */
-    val ownExit: Int? get() = process?.takeIf { !it.isAlive && !killed }?.exitValue()
+    /** The exit status of a process that ended without [kill]; null while it exists or if [kill] ended it. */
+    val unexpectedExitStatus: Int? get() = process?.takeIf { !it.isAlive && !killed }?.exitValue()
 
-    /** Starts the process, unless it is there. */
+    /** Starts the process unless it exists. */
     fun start() {
         if (alive) return
         killed = false
@@ -54,27 +54,27 @@
         }
     }
 
-    /** Ends the process at once. */
+    /** Kills the process and waits until it has ended. */
     fun kill() {
-        val ending = process ?: return
+        val target = process ?: return
         log.add(member, "process is killed")
-        killed = ending.isAlive || killed
-        ending.destroyForcibly().waitFor(KILL_LIMIT_S, TimeUnit.SECONDS)
+        killed = target.isAlive || killed
+        target.destroyForcibly().waitFor(SIGNAL_TIMEOUT_S, TimeUnit.SECONDS)
     }
 
-    /** Stops the process where it stands. */
+    /** Pauses the process with SIGSTOP. */
     fun pause() = signal("STOP")
 
-    /** Has a stopped process go on. */
+    /** Resumes a paused process with SIGCONT. */
     fun resume() = signal("CONT")
 
     private fun signal(name: String) {
         val target = process?.takeIf { it.isAlive } ?: return
         log.add(member, "SIG$name")
-        ProcessBuilder("kill", "-$name", target.pid().toString()).start().waitFor(KILL_LIMIT_S, TimeUnit.SECONDS)
+        ProcessBuilder("kill", "-$name", target.pid().toString()).start().waitFor(SIGNAL_TIMEOUT_S, TimeUnit.SECONDS)
     }
 
     private companion object {
-        const val KILL_LIMIT_S = 10L
+        const val SIGNAL_TIMEOUT_S = 10L
     }
 }
--- a/src/test/kotlin/topazvale/soak/EventLog.kt
+++ b/src/test/kotlin/topazvale/soak/EventLog.kt
@@ -5,26 +5,27 @@
 import kotlin.time.DurationUnit
 import kotlin.time.TimeSource
 
-/** What controllers, workers, users and troubles did in one run, merged by time. Used from any thread. */
+/** The events of controllers, workers, users and faults in one run, merged by time. Thread-safe. */
 class EventLog {
-    private class Event(val at: Duration, val who: String, val what: String)
+    private class Event(val at: Duration, val source: String, val message: String)
 
-    private val began = TimeSource.Monotonic.markNow()
+    private val startedAt = TimeSource.Monotonic.markNow()
     private val events = ConcurrentLinkedQueue<Event>()
 
-    /** Since the run began. */
-    val now: Duration get() = began.elapsedNow()
+    /** The time since the start of the run. */
+    val now: Duration get() = startedAt.elapsedNow()
 
-    /** Somebody did something just now. */
-    fun add(who: String, what: String) {
-        events += Event(now, who, what)
+    /** Adds an event of the component [source] at the current time. */
+    fun add(source: String, message: String) {
+        events += Event(now, source, message)
     }
 
-    /** All lines in the order of their times. */
+    /** All events as lines, ordered by time. */
     fun lines(): List<String> = events.sortedBy { it.at }.map {
-        "%9.3f %-12s %s".format(it.at.toDouble(DurationUnit.SECONDS), it.who, it.what)
+        "%9.3f %-12s %s".format(it.at.toDouble(DurationUnit.SECONDS), it.source, it.message)
     }
 
-    /** The lines that hold [text]. */
-    fun holding(text: String): List<String> = events.filter { text in it.what }.map { "${it.who}: ${it.what}" }
+    /** The events whose message contains [text], as `source: message`. */
+    fun containing(text: String): List<String> =
+        events.filter { text in it.message }.map { "${it.source}: ${it.message}" }
 }
--- a/src/test/kotlin/topazvale/soak/HttpControllerPort.kt
+++ b/src/test/kotlin/topazvale/soak/HttpControllerPort.kt
@@ -8,7 +8,7 @@
 import topazvale.net.Http
 import kotlin.time.Duration.Companion.seconds
 
-/** A controller as users and workers reach it over HTTP. */
+/** The HTTP client of users and workers for one controller. */
 class HttpControllerPort(private val http: Http, private val address: Address) : ControllerPort {
     override suspend fun report(body: ByteArray) = call(HttpMethod.POST, "/agent/beat", body)
 
@@ -19,9 +19,9 @@
     override suspend fun cancel(id: String) = call(HttpMethod.POST, "/submissions/$id/abort", null)
 
     private suspend fun call(method: HttpMethod, path: String, body: ByteArray?): ApiResponse? =
-        http.call(address, Call(method, path, body, LIMIT))?.let { ApiResponse(it.status, it.body) }
+        http.call(address, Call(method, path, body, CALL_TIMEOUT))?.let { ApiResponse(it.status, it.body) }
 
     private companion object {
-        val LIMIT = 5.seconds
+        val CALL_TIMEOUT = 5.seconds
     }
 }
--- a/src/test/kotlin/topazvale/soak/HttpStandIn.kt
+++ b/src/test/kotlin/topazvale/soak/HttpStandIn.kt
@@ -14,37 +14,37 @@
 import topazvale.wire.MalformedException
 import kotlin.time.Duration.Companion.milliseconds
 
-/** A request to a stand-in. */
+/** A request to a stand-in server. */
 class StandInRequest(
     val method: HttpMethod,
     val path: String,
     private val query: Map<String, String>,
     body: ByteArray,
 ) {
-    /** The body's fields; none where it is empty or not CBOR. */
+    /** The fields of the body; empty if the body is empty or not CBOR. */
     val fields: Map<String, Any?> = try {
         if (body.isEmpty()) emptyMap() else Cbor.decodeMap(body)
     } catch (ignored: MalformedException) {
         emptyMap()
     }
 
-    /** A parameter of the request's address, or [default]. */
+    /** The query parameter [name], or [default] if it is absent. */
     fun parameter(name: String, default: String = "") = query[name] ?: default
 }
 
-/** What a stand-in answers, after [paddingMb] megabytes that mean nothing. */
-class StandInAnswer(val status: Int, val body: ByteArray, val paddingMb: Int = 0) {
+/** The response of a stand-in server; its body follows [paddingMb] megabytes of meaningless padding. */
+class StandInResponse(val status: Int, val body: ByteArray, val paddingMb: Int = 0) {
     constructor(status: Int, fields: Map<String, Any?>, paddingMb: Int = 0) :
         this(status, Cbor.encode(fields), paddingMb)
 }
 
-/** An HTTP server on a free port of the loopback; where [answer] gives null the caller gets no answer at all. */
+/** An HTTP server on a free port of the loopback interface. If [respond] returns null, the caller gets no response. */
 class HttpStandIn(
     private val vertx: Vertx,
     private val scope: CoroutineScope,
-    private val answer: suspend (StandInRequest) -> StandInAnswer?,
+    private val respond: suspend (StandInRequest) -> StandInResponse?,
 ) {
-    /** Starts listening; the port. */
+    /** Starts listening and returns the port. */
     suspend fun listen(): Int =
         vertx.createHttpServer().requestHandler(::handle).listen(0, LOOPBACK).coAwait().actualPort()
 
@@ -52,16 +52,16 @@
         scope.launch(start = CoroutineStart.UNDISPATCHED) {
             val body = request.body().coAwait().bytes
             val query = request.params().associate { it.key to it.value }
-            val answer = answer(StandInRequest(request.method(), request.path().orEmpty(), query, body))
-            val response = request.response()
-            if (answer == null || response.ended() || response.closed()) return@launch
-            response.setStatusCode(answer.status)
-            if (answer.paddingMb > 0) pad(response, answer.paddingMb)
-            if (!response.closed()) response.end(Buffer.buffer(answer.body))
+            val response = respond(StandInRequest(request.method(), request.path().orEmpty(), query, body))
+            val httpResponse = request.response()
+            if (response == null || httpResponse.ended() || httpResponse.closed()) return@launch
+            httpResponse.setStatusCode(response.status)
+            if (response.paddingMb > 0) pad(httpResponse, response.paddingMb)
+            if (!httpResponse.closed()) httpResponse.end(Buffer.buffer(response.body))
         }
     }
 
-    /** More than the caller has memory for comes before the answer. */
+    /** Writes padding before the body, so that the response exceeds the memory of the caller. */
     private suspend fun pad(response: HttpServerResponse, megabytes: Int) {
         response.isChunked = true
         val block = Buffer.buffer(ByteArray(MEGABYTE))
--- a/src/test/kotlin/topazvale/soak/PeerLink.kt
+++ b/src/test/kotlin/topazvale/soak/PeerLink.kt
@@ -5,42 +5,42 @@
 import io.vertx.core.net.NetSocket
 import io.vertx.kotlin.coroutines.coAwait
 
-/** What leads connections from peers to one controller, and can cut them. */
+/** A TCP proxy for connections from peers to one controller; it simulates a partition while [cut]. */
 class PeerLink(private val vertx: Vertx, private val target: Int) {
-    private val open = HashSet<NetSocket>()
+    private val openSockets = HashSet<NetSocket>()
     private val client = vertx.createNetClient()
 
-    /** While it is cut no connection is there, nor made. */
+    /** Whether the link is cut: existing connections are closed and new ones refused. */
     var cut = false
-        set(on) {
-            field = on
-            if (on) open.toList().forEach { it.close() }
+        set(value) {
+            field = value
+            if (value) openSockets.toList().forEach { it.close() }
         }
 
-    /** Starts listening; the port. */
+    /** Starts listening and returns the port. */
     suspend fun listen(): Int = vertx.createNetServer(NetServerOptions().setHost(HttpStandIn.LOOPBACK).setPort(0))
-        .connectHandler(::connected)
+        .connectHandler(::handleConnection)
         .listen().coAwait().actualPort()
 
-    private fun connected(from: NetSocket) {
+    private fun handleConnection(source: NetSocket) {
         if (cut) {
-            from.close()
+            source.close()
             return
         }
-        from.pause()
-        client.connect(target, HttpStandIn.LOOPBACK).onFailure { from.close() }.onSuccess { to ->
-            join(from, to)
-            join(to, from)
-            from.resume()
+        source.pause()
+        client.connect(target, HttpStandIn.LOOPBACK).onFailure { source.close() }.onSuccess { destination ->
+            forward(source, destination)
+            forward(destination, source)
+            source.resume()
         }
     }
 
-    private fun join(from: NetSocket, to: NetSocket) {
-        open += from
-        from.handler(to::write)
-        from.closeHandler {
-            open -= from
-            to.close()
+    private fun forward(source: NetSocket, destination: NetSocket) {
+        openSockets += source
+        source.handler(destination::write)
+        source.closeHandler {
+            openSockets -= source
+            destination.close()
         }
     }
 }
--- a/src/test/kotlin/topazvale/soak/Ports.kt
+++ b/src/test/kotlin/topazvale/soak/Ports.kt
@@ -6,19 +6,19 @@
 import java.util.concurrent.atomic.AtomicInteger
 
 /**
- * Ports for processes that come back. They are below the range from which the system gives ports to whoever asks for any:
- * while a process is away nobody else takes its port.
+ * Allocates ports for processes that are restarted. The ports are below the ephemeral port range of the system, so the
+ * system doesn't assign the port of a controller to another process while that controller is down.
  */
 object Ports {
     private const val FIRST = 12_000
     private const val LAST = 31_000
-    private const val APART = 400
-    private val next = AtomicInteger(FIRST + (ProcessHandle.current().pid() * APART % (LAST - FIRST)).toInt())
+    private const val PROCESS_STRIDE = 400
+    private val next = AtomicInteger(FIRST + (ProcessHandle.current().pid() * PROCESS_STRIDE % (LAST - FIRST)).toInt())
 
-    /** So many ports that are free, and given to nobody else in this process. */
-    fun take(count: Int): List<Int> = List(count) { takeOne() }
+    /** Returns [count] free ports that are not allocated to any other caller in this process. */
+    fun allocate(count: Int): List<Int> = List(count) { allocateOne() }
 
-    private fun takeOne(): Int {
+    private fun allocateOne(): Int {
         while (true) {
             val port = next.getAndUpdate { if (it >= LAST) FIRST else it + 1 }
             if (isFree(port)) return port
--- a/src/test/kotlin/topazvale/soak/SoakCluster.kt
+++ b/src/test/kotlin/topazvale/soak/SoakCluster.kt
@@ -22,7 +22,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** One controller of a soak: its process, and its ways to the state service and from its peers. */
+/** One controller: its process, its stand-in state service, its link from peers and its HTTP API. */
 class SoakMember(
     val process: ControllerProcess,
     val state: StateServer,
@@ -30,29 +30,29 @@
     val port: HttpControllerPort,
 )
 
-/** What a run is made of, besides its seed. */
+/** Options of a run, apart from its seed. */
 class SoakOptions(
     val program: Program,
     val workers: Int,
     val controllers: Int,
-    val troubles: Duration,
+    val faultDuration: Duration,
     val logLevel: String,
     val kinds: List<Trouble>,
     val times: SoakTimes,
 ) {
-    /** For how long a command may be on its way. */
-    val longestCommand: Duration
-        get() = if (kinds.any { it.holdsCommands }) times.cancelS.seconds else USUAL_COMMAND
+    /** The longest time from sending a command to its execution. */
+    val maxCommandDelay: Duration
+        get() = if (kinds.any { it.delaysCommands }) times.cancelS.seconds else NORMAL_COMMAND_DELAY
 
     private companion object {
-        /** The slowest of all kinds of trouble that hold no command, and its time in the controller's own queue. */
-        val USUAL_COMMAND = 3.seconds
+        /** The longest delay under the faults that don't delay commands, plus the time in the controller's queue. */
+        val NORMAL_COMMAND_DELAY = 3.seconds
     }
 }
 
-/** How often workers report, and how long their leases are, in seconds. */
+/** The report interval and the lease duration of workers, in seconds. */
 class SoakTimes(val reportS: Double, val leaseS: Double) {
-    /** How long a cancellation may take: a lease beyond the grace of a leader that is cut off. */
+    /** The time limit of a cancellation: one lease after the lease grace period of a leader that is cut off. */
     val cancelS: Double get() = 2 * leaseS + CANCEL_MARGIN_S
 
     private companion object {
@@ -61,8 +61,8 @@
 }
 
 /**
- * Real controllers on the loopback, with stand-ins for state service, cloud, workers and users. Everything but the
- * controllers runs on one event loop.
+ * Controllers as real processes on the loopback interface, with stand-ins for the state service, the cloud, workers
+ * and users. Everything but the controllers runs on one event loop.
  */
 class SoakCluster(
     private val vertx: Vertx,
@@ -72,7 +72,7 @@
     val random: Random,
     val log: EventLog,
 ) : WorkerEnvironment {
-    /** What the state service holds. */
+    /** The contents of the state service, shared by all its stand-in servers. */
     val store = FakeStateStore()
     override val clocks = Clocks.SYSTEM
     override val members = List(options.controllers) { "node-$it" }
@@ -81,107 +81,116 @@
     override val observer = ProtocolObserver(settings, clocks)
     private val http = Http(vertx, maxConnections = options.workers + USER_CONNECTIONS, connectTimeout = 1.seconds)
 
-    /** The machines and their workers. */
+    /** The stand-in cloud with its machines and their workers. */
     val cloud = CloudServer(vertx, scope, this, options.workers, random, log)
 
-    /** The controllers, by name. */
-    val nodes = LinkedHashMap<String, SoakMember>()
+    /** The controllers by member name. */
+    val membersByName = LinkedHashMap<String, SoakMember>()
 
-    /** What users do. */
-    val users = UserEmulator(observer, clocks) { nodes.values.random(random).port }
+    /** The users; each request goes to a controller drawn at random. */
+    val users = UserEmulator(observer, clocks) { membersByName.values.random(random).port }
     override var duplicateReportDelay: Duration? = null
 
-    /** Starts stand-ins and controllers. */
+    /** Starts the stand-in servers and the controllers. */
     suspend fun start() {
-        observer.maxCommandDelay = options.longestCommand
+        observer.maxCommandDelay = options.maxCommandDelay
         observer.refresh = { cloud.workers.forEach { it.expireLeaseIfDue() } }
         val cloudPort = cloud.listen()
-        val binds = Ports.take(members.size)
-        val meshes = Ports.take(members.size)
-        val links = meshes.map { PeerLink(vertx, it) }
+        val bindPorts = Ports.allocate(members.size)
+        val meshPorts = Ports.allocate(members.size)
+        val links = meshPorts.map { PeerLink(vertx, it) }
         val linkPorts = links.map { it.listen() }
         members.forEachIndexed { i, member ->
             val state = StateServer(vertx, scope, store, random)
             val peers = members.indices.filter { it != i }.map { members[it] to linkPorts[it] }
-            val text = SoakSettings(member, binds[i], meshes[i], peers, cloudPort, state.listen(), options).text()
+            val text = SoakSettings(
+                member,
+                bindPorts[i],
+                meshPorts[i],
+                peers,
+                cloudPort,
+                state.listen(),
+                options,
+            ).text()
             val file = Files.writeString(folder.resolve("$member.toml"), text)
             val process = ControllerProcess(member, options.program, file, options.logLevel, log)
-            val port = HttpControllerPort(http, Address(HttpStandIn.LOOPBACK, binds[i]))
-            nodes[member] = SoakMember(process, state, links[i], port)
+            val port = HttpControllerPort(http, Address(HttpStandIn.LOOPBACK, bindPorts[i]))
+            membersByName[member] = SoakMember(process, state, links[i], port)
         }
-        nodes.values.forEach { it.process.start() }
+        membersByName.values.forEach { it.process.start() }
         scope.launch { superviseProcesses() }
     }
 
-    /** A process that has ended by itself is started again after a while. */
+    /** Restarts processes that ended without being killed by the soak, after a delay. */
     private suspend fun superviseProcesses() {
         while (true) {
             delay(SUPERVISION_INTERVAL)
-            for (member in nodes.values) {
-                val status = member.process.ownExit ?: continue
+            for (member in membersByName.values) {
+                val status = member.process.unexpectedExitStatus ?: continue
                 log.add(member.process.member, "process ended with status $status")
-                ownExits += "${member.process.member} with status $status"
+                unexpectedExits += "${member.process.member} with status $status"
                 delay(RESTART_DELAY)
                 member.process.start()
             }
         }
     }
 
-    /** Processes that have ended by themselves. */
-    val ownExits = ArrayList<String>()
+    /** The member and exit status of each process that ended without being killed by the soak. */
+    val unexpectedExits = ArrayList<String>()
 
-    /** Ends all processes. */
-    fun end() = nodes.values.forEach { it.process.kill() }
+    /** Kills all controller processes. */
+    fun killAll() = membersByName.values.forEach { it.process.kill() }
 
-    /** The controller that leads by the state service's word. */
-    val leader: SoakMember? get() = nodes[store.get(Keys.LEADER)?.data?.get("member")]
+    /** The controller that the leader record in the state service names. */
+    val leader: SoakMember? get() = membersByName[store.get(Keys.LEADER)?.data?.get("member")]
 
-    override fun controller(member: String) = nodes[member]?.takeIf { it.process.alive }?.port
+    override fun controller(member: String) = membersByName[member]?.takeIf { it.process.alive }?.port
 
-    override fun controllers() = nodes.values.filter { it.process.alive }.map { it.port }
+    override fun controllers() = membersByName.values.filter { it.process.alive }.map { it.port }
 
-    override fun taskTime(spec: JobSpec, index: Int): Duration =
-        spec.estimate * (LEAST_OF_ESTIMATE + (spec.id.hashCode() + index).mod(SPREAD) / SPREAD.toDouble())
+    override fun taskTime(spec: JobSpec, index: Int): Duration = spec.estimate *
+        (MIN_ESTIMATE_SHARE + (spec.id.hashCode() + index).mod(VARIATION_STEPS) / VARIATION_STEPS.toDouble())
 
-    override fun fetchTime(spec: JobSpec): Duration = FETCH * ((spec.image.hashCode()).mod(SPREAD) / SPREAD.toDouble())
+    override fun fetchTime(spec: JobSpec): Duration =
+        MAX_FETCH_TIME * ((spec.image.hashCode()).mod(VARIATION_STEPS) / VARIATION_STEPS.toDouble())
 
     override fun recordEvent(host: String, what: String) = log.add(host, what)
 
     private companion object {
         const val USER_CONNECTIONS = 50
-        const val LEAST_OF_ESTIMATE = 0.5
-        const val SPREAD = 16
-        val FETCH = 600.milliseconds
+        const val MIN_ESTIMATE_SHARE = 0.5
+        const val VARIATION_STEPS = 16
+        val MAX_FETCH_TIME = 600.milliseconds
         val SUPERVISION_INTERVAL = 500.milliseconds
         val RESTART_DELAY = 2.seconds
     }
 }
 
-/** The settings of one controller of a soak: short leases, so that much happens in little time. */
+/** The settings of one controller. Leases are short, so a run covers many expirations in little time. */
 class SoakSettings(
     private val member: String,
-    private val bind: Int,
-    private val mesh: Int,
+    private val bindPort: Int,
+    private val meshPort: Int,
     private val peers: List<Pair<String, Int>>,
-    private val cloud: Int,
-    private val state: Int,
+    private val cloudPort: Int,
+    private val statePort: Int,
     options: SoakOptions,
 ) {
     private val times = options.times
 
-    /** A connection for each worker, and those of users and peers. */
-    private val connections = maxOf(LEAST_CONNECTIONS, options.workers * 3 / 2)
+    /** One connection per worker, and spare ones for users and peers. */
+    private val connections = maxOf(MIN_CONNECTIONS, options.workers * 3 / 2)
 
-    /** The settings file. */
+    /** The text of the settings file. */
     fun text(): String = """
         member = "$member"
         area = "a"
-        bind = "${HttpStandIn.LOOPBACK}:$bind"
-        mesh_addr = "${HttpStandIn.LOOPBACK}:$mesh"
-        ${peers.joinToString("\n") { (name, port) -> seed(name, port) }}
+        bind = "${HttpStandIn.LOOPBACK}:$bindPort"
+        mesh_addr = "${HttpStandIn.LOOPBACK}:$meshPort"
+        ${peers.joinToString("\n") { (name, port) -> peer(name, port) }}
         [outside]
-        cloud = "${HttpStandIn.LOOPBACK}:$cloud"
-        state = "${HttpStandIn.LOOPBACK}:$state"
+        cloud = "${HttpStandIn.LOOPBACK}:$cloudPort"
+        state = "${HttpStandIn.LOOPBACK}:$statePort"
         [deployment]
         initial_size = ${peers.size + 1}
         clock_error_ms = 5.0
@@ -206,13 +215,13 @@
         max_connections = $connections
     """.trimIndent()
 
-    private fun seed(name: String, port: Int) =
+    private fun peer(name: String, port: Int) =
         "[[seeds]]\nmember = \"$name\"\narea = \"a\"\naddress = \"${HttpStandIn.LOOPBACK}:$port\""
 
     private fun team(name: String, cpus: Double?, gpus: Double?) =
         "[[deployment.teams]]\nname = \"$name\"\ncpus = 0.0\ncpus_max = ${cpus ?: 0.0}\ngpus = 0.0\ngpus_max = ${gpus ?: 0.0}"
 
     private companion object {
-        const val LEAST_CONNECTIONS = 1800
+        const val MIN_CONNECTIONS = 1800
     }
 }
--- a/src/test/kotlin/topazvale/soak/SoakCommand.kt
+++ b/src/test/kotlin/topazvale/soak/SoakCommand.kt
@@ -15,7 +15,7 @@
 import kotlin.system.exitProcess
 import kotlin.time.Duration.Companion.seconds
 
-/** Randomized failures against the packaged program, in real processes on the loopback. */
+/** Random fault injection against the packaged program, in real processes on the loopback interface. */
 @Command(
     name = "soak",
     mixinStandardHelpOptions = true,
@@ -69,22 +69,22 @@
         )
         val folder = Path.of("target/soak").toAbsolutePath()
         val results = runBlocking(Dispatchers.Default) {
-            val running = Semaphore(parallel)
+            val runSlots = Semaphore(parallel)
             (first until first + seeds).map { seed ->
-                async { running.withPermit { SoakRun(seed, options, folder).play().also(::print) } }
+                async { runSlots.withPermit { SoakRun(seed, options, folder).run().also(::print) } }
             }.awaitAll()
         }
         val counts = results.groupingBy { verdict(it) }.eachCount()
         val failed = counts[SeedVerdict.FAILED] ?: 0
-        val passedOver = counts[SeedVerdict.KNOWN_RED] ?: 0
-        println("${results.size - failed - passedOver} passed, $failed failed, $passedOver skipped")
+        val skipped = counts[SeedVerdict.KNOWN_RED] ?: 0
+        println("${results.size - failed - skipped} passed, $failed failed, $skipped skipped")
         return if (failed == 0) 0 else 1
     }
 
-    /** Whether a run of the same seed is the same under both commands. */
-    fun playsLike(other: SoakCommand): Boolean = played == other.played
+    /** Whether both commands give the same run for the same seed. */
+    fun isEquivalentTo(other: SoakCommand): Boolean = runParameters == other.runParameters
 
-    private val played: List<Any>
+    private val runParameters: List<Any>
         get() = listOf(workers, controllers, seconds, program, reportS, leaseS, only)
 
     private fun verdict(result: SoakResult) = verdicts.of(result.seed, result.failures)
@@ -98,20 +98,20 @@
     }
 
     companion object {
-        /** The command as it is written, `./soak` and its options. */
+        /** Parses a command line that consists of `./soak` and its options. */
         fun parse(command: String): SoakCommand {
             val words = command.trim().split(Regex("""\s+"""))
-            require(words.first() == "./soak") { "not a soak: $command" }
-            @Suppress("SpreadOperator") // The library takes them so.
+            require(words.first() == "./soak") { "not a ./soak command: $command" }
+            @Suppress("SpreadOperator") // picocli accepts the arguments only as varargs.
             return CommandLine.populateCommand(SoakCommand(), *words.drop(1).toTypedArray())
         }
     }
 }
 
-/** Runs the soak that the arguments ask for. */
+/** Runs the soak command with [args] and exits with its status. */
 fun main(args: Array<String>) {
     System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "error")
-    // Processes that end reset their connections: that is the point.
+    // Killed processes reset their connections, which the soak expects.
     System.setProperty("org.slf4j.simpleLogger.log.io", "off")
     exitProcess(CommandLine(SoakCommand()).execute(*args))
 }
--- a/src/test/kotlin/topazvale/soak/SoakRun.kt
+++ b/src/test/kotlin/topazvale/soak/SoakRun.kt
@@ -18,10 +18,10 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.TimeSource
 
-/** How one run ended. */
+/** The result of one run. */
 class SoakResult(
     val seed: Long,
-    val schedule: List<PlannedTrouble>,
+    val schedule: List<ScheduledFault>,
     val failures: List<String>,
     val starts: Int,
     val accepted: Int,
@@ -30,50 +30,53 @@
     val passed get() = failures.isEmpty()
 }
 
-/** One run: troubles drawn from the seed, then calm; judged from outside by what workers and users saw. */
+/**
+ * One run: a fault schedule drawn from the seed, then quiescence without faults. The verdict rests on what workers and
+ * users observe, on invariant violations that controllers log, and on processes that end unexpectedly.
+ */
 class SoakRun(private val seed: Long, private val options: SoakOptions, folder: Path) {
     private val folder = Files.createDirectories(folder.resolve("seed-$seed"))
     private val random = Random(seed)
     private val log = EventLog()
 
-    /** Plays the run to its end. */
-    suspend fun play(): SoakResult {
+    /** Runs the workload and the fault schedule, waits for quiescence and collects the failures. */
+    suspend fun run(): SoakResult {
         val vertx = smallVertx()
         val dispatcher = vertx.orCreateContext.dispatcher()
         val scope = CoroutineScope(dispatcher + SupervisorJob())
-        val schedule = PlannedTrouble.draw(random, options.troubles, options.kinds)
+        val schedule = ScheduledFault.draw(random, options.faultDuration, options.kinds)
         val cluster = SoakCluster(vertx, scope, options, folder, Random(random.nextInt()), log)
         try {
-            return withContext(dispatcher) { play(cluster, scope, schedule) }
+            return withContext(dispatcher) { run(cluster, scope, schedule) }
         } finally {
-            cluster.end()
+            cluster.killAll()
             scope.cancel()
             vertx.close()
         }
     }
 
-    private suspend fun play(cluster: SoakCluster, scope: CoroutineScope, schedule: List<PlannedTrouble>): SoakResult {
+    private suspend fun run(cluster: SoakCluster, scope: CoroutineScope, schedule: List<ScheduledFault>): SoakResult {
         val failures = ArrayList<String>()
         cluster.start()
-        if (!waited(START_LIMIT) { cluster.leader != null }) failures += "nobody leads after $START_LIMIT"
-        val watching = scope.launch { watchCancelled(cluster) }
+        if (!waitUntil(START_LIMIT) { cluster.leader != null }) failures += "nobody leads after $START_LIMIT"
+        val watching = scope.launch { watchCancelledTasks(cluster) }
         val workload = Workload(cluster, scope, Random(random.nextInt()), options.workers)
-        workload.start(WARM_UP + options.troubles)
+        workload.start(WARM_UP + options.faultDuration)
         delay(WARM_UP)
-        playTroubles(cluster, workload, schedule)
-        log.add("soak", "calm")
-        failures += settle(cluster, workload)
+        injectFaults(cluster, workload, schedule)
+        log.add("soak", "fault schedule ended")
+        failures += awaitQuiescence(cluster, workload)
         watching.cancelAndJoin()
         failures += cluster.observer.violations.map { it.toString() }
-        failures += log.holding("invariant_violated")
-        failures += cluster.ownExits.filterNot { MEMORY_EXIT in it }.map { "ended_by_itself: $it" }
+        failures += log.containing("invariant_violated")
+        failures += cluster.unexpectedExits.filterNot { OUT_OF_MEMORY_EXIT in it }.map { "ended_by_itself: $it" }
         return result(cluster, workload, schedule, failures)
     }
 
     private fun result(
         cluster: SoakCluster,
         workload: Workload,
-        schedule: List<PlannedTrouble>,
+        schedule: List<ScheduledFault>,
         failures: List<String>,
     ): SoakResult {
         val lines = failures.map { "FAILED $it" } + schedule.map { "SCHEDULE $it" } + log.lines()
@@ -81,62 +84,65 @@
         return SoakResult(seed, schedule, failures, cluster.observer.starts, workload.jobs.size, file)
     }
 
-    private suspend fun playTroubles(cluster: SoakCluster, workload: Workload, schedule: List<PlannedTrouble>) =
+    private suspend fun injectFaults(cluster: SoakCluster, workload: Workload, schedule: List<ScheduledFault>) =
         coroutineScope {
-            val playing = schedule.map { planned ->
+            val injections = schedule.map { scheduled ->
                 launch {
-                    delay(planned.at)
-                    log.add("trouble", "${planned.trouble} begins")
-                    planned.trouble.play(TroubleContext(cluster, workload, Random(planned.seed)))
-                    log.add("trouble", "${planned.trouble} is over")
+                    delay(scheduled.at)
+                    log.add("fault", "${scheduled.trouble} begins")
+                    scheduled.trouble.inject(FaultContext(cluster, workload, Random(scheduled.seed)))
+                    log.add("fault", "${scheduled.trouble} ends")
                 }
             }
-            delay(options.troubles)
-            playing.forEach { it.cancelAndJoin() }
+            delay(options.faultDuration)
+            injections.forEach { it.cancelAndJoin() }
         }
 
-    /** Once the troubles are over each job is answered for, and those that nobody cancelled are done. */
-    private suspend fun settle(cluster: SoakCluster, workload: Workload): List<String> {
-        var open = workload.open()
-        val done = waited(SETTLE_LIMIT) {
-            delay(POLL_EVERY)
-            // Also those whose submission was accepted only now: no service ends by itself.
+    /**
+     * Waits after the fault schedule until each accepted job is reported as done or cancelled. Returns a failure for
+     * each job that is not, except for a job that waits because its team is at its resource limit.
+     */
+    private suspend fun awaitQuiescence(cluster: SoakCluster, workload: Workload): List<String> {
+        var unfinished = workload.unfinishedJobs()
+        val isQuiescent = waitUntil(QUIESCENCE_LIMIT) {
+            delay(POLL_INTERVAL)
+            // A service ends only when it is cancelled. Its submission may have been accepted after the last iteration.
             workload.cancelServices()
-            open = workload.open()
-            open.isEmpty()
+            unfinished = workload.unfinishedJobs()
+            unfinished.isEmpty()
         }
-        if (done) return emptyList()
+        if (isQuiescent) return emptyList()
         cluster.observer.refresh()
-        // A job may wait for as long as its team is at its limit.
-        return open.filter { cluster.users.poll(it.id) == null || cluster.observer.isUnderLimit(it) }.map {
-            "left: ${it.id} (${it.shape}) is ${cluster.users.poll(it.id)} $SETTLE_LIMIT after the troubles"
+        // A job may wait without a time limit while its team is at its resource limit.
+        return unfinished.filter { cluster.users.poll(it.id) == null || cluster.observer.isUnderLimit(it) }.map {
+            "left: ${it.id} (${it.shape}) is ${cluster.users.poll(it.id)} $QUIESCENCE_LIMIT after the troubles"
         }
     }
 
-    private suspend fun watchCancelled(cluster: SoakCluster) {
+    private suspend fun watchCancelledTasks(cluster: SoakCluster) {
         while (true) {
-            delay(WATCH_EVERY)
+            delay(CHECK_INTERVAL)
             cluster.observer.refresh()
             cluster.observer.checkCancellations()
         }
     }
 
-    private suspend fun waited(limit: Duration, reached: suspend () -> Boolean): Boolean {
-        val began = TimeSource.Monotonic.markNow()
-        while (!reached()) {
-            if (began.elapsedNow() > limit) return false
-            delay(WATCH_EVERY)
+    private suspend fun waitUntil(limit: Duration, condition: suspend () -> Boolean): Boolean {
+        val startedAt = TimeSource.Monotonic.markNow()
+        while (!condition()) {
+            if (startedAt.elapsedNow() > limit) return false
+            delay(CHECK_INTERVAL)
         }
         return true
     }
 
     private companion object {
-        /** The status with which a process ends that has run out of memory: that is one of the troubles. */
-        const val MEMORY_EXIT = "status 3"
+        /** The exit status of a process that ran out of memory, which is an injected fault and no failure. */
+        const val OUT_OF_MEMORY_EXIT = "status 3"
         val START_LIMIT = 30.seconds
         val WARM_UP = 5.seconds
-        val SETTLE_LIMIT = 90.seconds
-        val POLL_EVERY = 500.milliseconds
-        val WATCH_EVERY = 100.milliseconds
+        val QUIESCENCE_LIMIT = 90.seconds
+        val POLL_INTERVAL = 500.milliseconds
+        val CHECK_INTERVAL = 100.milliseconds
     }
 }
--- a/src/test/kotlin/topazvale/soak/SoakVerdict.kt
+++ b/src/test/kotlin/topazvale/soak/SoakVerdict.kt
@@ -2,7 +2,7 @@
 
 import topazvale.KnownRed
 
-/** What is made of one run. */
+/** The verdict on one run. */
 enum class SeedVerdict(val text: String) {
     PASSED("passed"),
     FAILED("FAILED"),
@@ -10,19 +10,20 @@
     KNOWN_RED_PASSES("passed, and is listed as KNOWN RED"),
 }
 
-/** Judges the runs of a command by the list of known failures. */
+/** Determines the verdict on each run of a command from its failures and the list of known failures. */
 class SoakVerdict(known: List<KnownRed>, command: SoakCommand) {
-    /** Those listed under a command that plays the same: another workload or other troubles are another case. */
-    private val listed = known.filter { it.soakSeed != null && SoakCommand.parse(it.command).playsLike(command) }
+    /** The known failures of equivalent commands by seed; another workload or other faults make another case. */
+    private val knownBySeed = known
+        .filter { it.soakSeed != null && SoakCommand.parse(it.command).isEquivalentTo(command) }
         .associateBy { it.soakSeed }
 
-    /** The verdict on a seed's [failures]. */
+    /** Returns the verdict on the [failures] of a seed. */
     fun of(seed: Long, failures: List<String>): SeedVerdict {
-        val red = listed[seed]
+        val knownFailure = knownBySeed[seed]
         return when {
-            red == null -> if (failures.isEmpty()) SeedVerdict.PASSED else SeedVerdict.FAILED
+            knownFailure == null -> if (failures.isEmpty()) SeedVerdict.PASSED else SeedVerdict.FAILED
             failures.isEmpty() -> SeedVerdict.KNOWN_RED_PASSES
-            failures.all { it.substringBefore(':') in red.kinds } -> SeedVerdict.KNOWN_RED
+            failures.all { it.substringBefore(':') in knownFailure.kinds } -> SeedVerdict.KNOWN_RED
             else -> SeedVerdict.FAILED
         }
     }
--- a/src/test/kotlin/topazvale/soak/StateServer.kt
+++ b/src/test/kotlin/topazvale/soak/StateServer.kt
@@ -17,50 +17,50 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** What goes wrong between one controller and the state service. */
+/** The faults between one controller and the state service. */
 class StateFaults {
-    /** Each call is refused with 503; open watches wait. */
+    /** Whether each call is refused with status 503; open watches wait. */
     var refusing = false
 
-    /** Nothing is answered, nor carried out. */
-    var hanging = false
+    /** Whether calls are neither carried out nor responded to. */
+    var unresponsive = false
 
-    /** How long a call takes. */
+    /** The delay of a call before it is carried out. */
     var latency: () -> Duration = { 1.milliseconds }
 
-    /** How many entries a page of a listing has at most, and how long it is on its way. */
+    /** The maximum number of entries in a page of a listing, and the delay of the page. */
     var pageSize = Int.MAX_VALUE
     var pageDelay: () -> Duration = { Duration.ZERO }
 
-    /** How long the answer to a watch is on its way. */
+    /** The delay of the response to a watch. */
     var watchDelay: () -> Duration = { Duration.ZERO }
 
-    /** The share of transactions that are carried out so much later, without an answer. */
-    var lateShare = 0.0
-    var lateBy: () -> Duration = { Duration.ZERO }
+    /** The share of transactions that get no response and are carried out after [commitDelay]. */
+    var delayedShare = 0.0
+    var commitDelay: () -> Duration = { Duration.ZERO }
 
-    /** The share of transactions that are carried out at once, and whose answers get lost. */
-    var lostShare = 0.0
+    /** The share of transactions that are carried out at once but whose responses are lost. */
+    var lostResponseShare = 0.0
 }
 
-/** The state service's protocol in front of a store, with a port and faults of its own for one controller. */
+/** A stand-in server for the protocol of the state service. Each controller has its own, with its own faults. */
 class StateServer(
     vertx: Vertx,
     private val scope: CoroutineScope,
     private val store: FakeStateStore,
     private val random: Random,
 ) {
-    private val server = HttpStandIn(vertx, scope, ::answer)
+    private val server = HttpStandIn(vertx, scope, ::respond)
 
-    /** What goes wrong now. */
+    /** The faults that are active now. */
     val faults = StateFaults()
 
-    /** Starts listening; the port. */
+    /** Starts listening and returns the port. */
     suspend fun listen(): Int = server.listen()
 
-    private suspend fun answer(request: StandInRequest): StandInAnswer? {
+    private suspend fun respond(request: StandInRequest): StandInResponse? {
         delay(faults.latency())
-        if (faults.hanging) awaitCancellation()
+        if (faults.unresponsive) awaitCancellation()
         if (request.path == "/watch") return watch(request)
         if (faults.refusing || store.outage) return REFUSED
         val parts = request.path.removePrefix("/").split('/')
@@ -70,17 +70,18 @@
             request.path == "/commit" -> commit(request)
             request.path == "/grants" -> grant(request)
             parts.first() == "grants" -> renew(parts[1].toLong(), request.method)
-            else -> StandInAnswer(HttpStatus.BAD_REQUEST, mapOf("error" to "no such path"))
+            else -> StandInResponse(HttpStatus.BAD_REQUEST, mapOf("error" to "no such path"))
         }
     }
 
-    private fun get(key: String): StandInAnswer {
+    private fun get(key: String): StandInResponse {
         store.expire()
-        val entry = store.get(key) ?: return StandInAnswer(HttpStatus.NOT_FOUND, mapOf("generation" to store.revision))
-        return StandInAnswer(HttpStatus.OK, fields(entry))
+        val entry =
+            store.get(key) ?: return StandInResponse(HttpStatus.NOT_FOUND, mapOf("generation" to store.revision))
+        return StandInResponse(HttpStatus.OK, fields(entry))
     }
 
-    private suspend fun list(request: StandInRequest): StandInAnswer {
+    private suspend fun list(request: StandInRequest): StandInResponse {
         store.expire()
         val after = request.parameter("since")
         val limit = request.parameter("limit", "1000").toInt()
@@ -91,7 +92,7 @@
             "generation" to page.revision,
         )
         delay(faults.pageDelay())
-        return StandInAnswer(HttpStatus.OK, body)
+        return StandInResponse(HttpStatus.OK, body)
     }
 
     private fun fields(entry: Entry) = mapOf(
@@ -101,65 +102,65 @@
         "permit" to entry.lease,
     )
 
-    private suspend fun commit(request: StandInRequest): StandInAnswer? {
+    private suspend fun commit(request: StandInRequest): StandInResponse? {
         val conditions = maps(request, "when").map { Condition(it["k"] as String, it["stamp"] as Long) }
         val changes = maps(request, "apply").map(::change)
-        if (random.nextDouble() < faults.lateShare) {
+        if (random.nextDouble() < faults.delayedShare) {
             scope.launch {
-                delay(faults.lateBy())
+                delay(faults.commitDelay())
                 store.commit(conditions, changes)
             }
             return null
         }
         val outcome = store.commit(conditions, changes)
-        return if (random.nextDouble() < faults.lostShare) null else answer(outcome)
+        return if (random.nextDouble() < faults.lostResponseShare) null else response(outcome)
     }
 
-    private fun answer(outcome: Commit): StandInAnswer = when (outcome) {
-        is Commit.Done -> StandInAnswer(HttpStatus.OK, mapOf("generation" to outcome.revision))
+    private fun response(outcome: Commit): StandInResponse = when (outcome) {
+        is Commit.Done -> StandInResponse(HttpStatus.OK, mapOf("generation" to outcome.revision))
 
-        is Commit.Failed -> StandInAnswer(
+        is Commit.Failed -> StandInResponse(
             HttpStatus.CONFLICT,
             mapOf("failed" to outcome.keys.toList(), "generation" to store.revision),
         )
 
-        is Commit.LeaseGone -> StandInAnswer(HttpStatus.BAD_REQUEST, mapOf("error" to "no such lease"))
+        is Commit.LeaseGone -> StandInResponse(HttpStatus.BAD_REQUEST, mapOf("error" to "no such lease"))
 
-        else -> StandInAnswer(HttpStatus.BAD_REQUEST, mapOf("error" to "invalid"))
+        else -> StandInResponse(HttpStatus.BAD_REQUEST, mapOf("error" to "invalid"))
     }
 
     private fun change(fields: Map<String, Any?>): Change {
-        val written = fields["write"] as String? ?: return Change.Delete(fields["drop"] as String)
+        val writtenKey = fields["write"] as String? ?: return Change.Delete(fields["drop"] as String)
         @Suppress("UNCHECKED_CAST")
-        return Change.Put(written, fields["data"] as Map<String, Any?>, fields["permit"] as Long?)
+        return Change.Put(writtenKey, fields["data"] as Map<String, Any?>, fields["permit"] as Long?)
     }
 
     @Suppress("UNCHECKED_CAST")
     private fun maps(request: StandInRequest, name: String) =
         request.fields[name] as? List<Map<String, Any?>> ?: emptyList()
 
-    private fun grant(request: StandInRequest): StandInAnswer {
+    private fun grant(request: StandInRequest): StandInResponse {
         val ttl = (request.fields["ttlMs"] as Long).milliseconds
-        return StandInAnswer(HttpStatus.OK, mapOf("permit" to store.grant(ttl)))
+        return StandInResponse(HttpStatus.OK, mapOf("permit" to store.grant(ttl)))
     }
 
-    private fun renew(lease: Long, method: HttpMethod): StandInAnswer {
-        val there = method == HttpMethod.POST && store.renew(lease)
-        return StandInAnswer(if (there) HttpStatus.OK else HttpStatus.NOT_FOUND, emptyMap())
+    private fun renew(lease: Long, method: HttpMethod): StandInResponse {
+        val renewed = method == HttpMethod.POST && store.renew(lease)
+        return StandInResponse(if (renewed) HttpStatus.OK else HttpStatus.NOT_FOUND, emptyMap())
     }
 
-    private suspend fun watch(request: StandInRequest): StandInAnswer {
-        while (faults.refusing || faults.hanging || store.outage) delay(HELD_WATCH)
+    private suspend fun watch(request: StandInRequest): StandInResponse {
+        while (faults.refusing || faults.unresponsive || store.outage) delay(HELD_WATCH_CHECK_INTERVAL)
         val wait = request.parameter("waitMs", "0").toLong().milliseconds
-        val seen = store.changes(request.parameter("under"), request.parameter("since").toLong(), wait)
-        while (faults.refusing || faults.hanging || store.outage) delay(HELD_WATCH)
+        val events = store.changes(request.parameter("under"), request.parameter("since").toLong(), wait)
+        while (faults.refusing || faults.unresponsive || store.outage) delay(HELD_WATCH_CHECK_INTERVAL)
         delay(faults.watchDelay())
-        return if (seen == null) TOO_OLD else StandInAnswer(HttpStatus.OK, fields(seen))
+        return if (events == null) TOO_OLD else StandInResponse(HttpStatus.OK, fields(events))
     }
 
-    private fun fields(seen: Events): Map<String, Any?> = mapOf(
-        "generation" to seen.revision,
-        "events" to seen.events.map { event ->
+    private fun fields(events: Events): Map<String, Any?> = mapOf(
+        "generation" to events.revision,
+        "events" to events.events.map { event ->
             if (event.data == null) {
                 mapOf("drop" to event.key, "stamp" to event.version)
             } else {
@@ -169,8 +170,8 @@
     )
 
     private companion object {
-        val HELD_WATCH = 10.milliseconds
-        val TOO_OLD = StandInAnswer(HttpStatus.GONE, mapOf("error" to "too old"))
-        val REFUSED = StandInAnswer(HttpStatus.UNAVAILABLE, mapOf("error" to "trouble"))
+        val HELD_WATCH_CHECK_INTERVAL = 10.milliseconds
+        val TOO_OLD = StandInResponse(HttpStatus.GONE, mapOf("error" to "too old"))
+        val REFUSED = StandInResponse(HttpStatus.UNAVAILABLE, mapOf("error" to "trouble"))
     }
 }
--- a/src/test/kotlin/topazvale/soak/Troubles.kt
+++ b/src/test/kotlin/topazvale/soak/Troubles.kt
@@ -6,95 +6,111 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** A kind of trouble: begins, lasts, and ends by itself, also when it is cancelled. */
-enum class Trouble(val play: suspend TroubleContext.() -> Unit) {
-    LEADER_ENDS({ restart(listOfNotNull(cluster.leader), between(100, 4000)) }),
-    CONTROLLER_ENDS({ restart(listOf(cluster.nodes.values.random(random)), between(100, 4000)) }),
-    ALL_CONTROLLERS_END({ restart(cluster.nodes.values.toList(), between(100, 9000)) }),
+/** A kind of fault. [inject] returns when the fault has ended, and also ends the fault when it is cancelled. */
+enum class Trouble(val inject: suspend FaultContext.() -> Unit) {
+    LEADER_ENDS({ restart(listOfNotNull(cluster.leader), randomDuration(100, 4000)) }),
+    CONTROLLER_ENDS({ restart(listOf(cluster.membersByName.values.random(random)), randomDuration(100, 4000)) }),
+    ALL_CONTROLLERS_END({ restart(cluster.membersByName.values.toList(), randomDuration(100, 9000)) }),
     LEADERS_IN_SERIES({
         repeat(random.nextInt(2, 5)) {
-            restart(listOfNotNull(cluster.leader), between(50, 2500))
-            delay(between(500, 4000))
+            restart(listOfNotNull(cluster.leader), randomDuration(50, 2500))
+            delay(randomDuration(500, 4000))
         }
     }),
-    LEADER_STANDS_STILL({ pause(cluster.leader, between(500, 9000)) }),
-    CONTROLLER_STANDS_STILL({ pause(cluster.nodes.values.random(random), between(500, 9000)) }),
-    STATE_OUTAGE({ during(between(1000, 9000), { cluster.store.outage = true }, { cluster.store.outage = false }) }),
-    STATE_REFUSES_LEADER({ toState(cluster.leader, between(2000, 10_000), { refusing = true }, { refusing = false }) }),
+    LEADER_STANDS_STILL({ pause(cluster.leader, randomDuration(500, 9000)) }),
+    CONTROLLER_STANDS_STILL({ pause(cluster.membersByName.values.random(random), randomDuration(500, 9000)) }),
+    STATE_OUTAGE({
+        withFault(randomDuration(1000, 9000), { cluster.store.outage = true }, { cluster.store.outage = false })
+    }),
+    STATE_REFUSES_LEADER({
+        withStateFault(cluster.leader, randomDuration(2000, 10_000), { refusing = true }, { refusing = false })
+    }),
     STATE_SILENT_FOR_LEADER({
-        toState(cluster.leader, between(2000, 10_000), { hanging = true }, { hanging = false })
+        withStateFault(cluster.leader, randomDuration(2000, 10_000), { unresponsive = true }, { unresponsive = false })
     }),
     STATE_SLOW({
-        val most = random.nextInt(50, 500)
-        forAll({ latency = { random.nextInt(most).milliseconds } }, { latency = { 1.milliseconds } })
+        val maxMs = random.nextInt(50, 500)
+        withStateFaultForAll({ latency = { random.nextInt(maxMs).milliseconds } }, { latency = { 1.milliseconds } })
     }),
     TRANSACTIONS_LATE({
-        forAll(
+        withStateFaultForAll(
             {
-                lateShare = LATE_SHARE
-                lateBy = { random.nextInt(500, 8000).milliseconds }
+                delayedShare = AFFECTED_SHARE
+                commitDelay = { random.nextInt(500, 8000).milliseconds }
             },
-            { lateShare = 0.0 },
+            { delayedShare = 0.0 },
         )
     }),
-    TRANSACTION_ANSWERS_LOST({ forAll({ lostShare = LATE_SHARE }, { lostShare = 0.0 }) }),
+    TRANSACTION_ANSWERS_LOST({
+        withStateFaultForAll({ lostResponseShare = AFFECTED_SHARE }, { lostResponseShare = 0.0 })
+    }),
     LEADER_CUT_FROM_STATE_AND_PEERS({
         val leader = cluster.leader
         leader?.peers?.cut = true
         try {
-            toState(leader, between(3000, 12_000), { hanging = true }, { hanging = false })
+            withStateFault(leader, randomDuration(3000, 12_000), { unresponsive = true }, { unresponsive = false })
         } finally {
             leader?.peers?.cut = false
         }
     }),
     REPORTS_SLOW({
-        val most = random.nextInt(300, 1500)
-        toWorkers(MANY, { reportDelay = { random.nextInt(most).milliseconds } }, { reportDelay = { USUAL } })
+        val maxMs = random.nextInt(300, 1500)
+        withWorkerFault(
+            MANY_DIVISOR,
+            { reportDelay = { random.nextInt(maxMs).milliseconds } },
+            { reportDelay = { NORMAL_DELAY } },
+        )
     }),
     REPORTS_SLOW_THEN_CUT({
-        val workers = some(MANY)
+        val workers = randomWorkers(MANY_DIVISOR)
         try {
             workers.forEach { it.faults.reportDelay = { random.nextInt(700, 1200).milliseconds } }
-            // Stops are sent directly, and their answers overtake the reports.
+            // Stops are sent as direct commands, so their responses arrive before reports that were sent earlier.
             repeat(random.nextInt(8, 15)) {
                 workload.cancelSome(1)
-                delay(between(200, 500))
+                delay(randomDuration(200, 500))
             }
             workers.forEach {
                 it.faults.dropsReports = true
                 it.faults.dropsInbound = true
             }
-            delay(cluster.limits.lease + between(1000, 5000))
+            delay(cluster.limits.lease + randomDuration(1000, 5000))
         } finally {
             workers.forEach {
-                it.faults.reportDelay = { USUAL }
+                it.faults.reportDelay = { NORMAL_DELAY }
                 it.faults.dropsReports = false
                 it.faults.dropsInbound = false
             }
         }
     }),
     ANSWERS_SLOW({
-        toWorkers(MANY, { reportResponseDelay = { random.nextInt(1500).milliseconds } }, {
-            reportResponseDelay =
-                { USUAL }
-        })
+        withWorkerFault(
+            MANY_DIVISOR,
+            { reportResponseDelay = { random.nextInt(1500).milliseconds } },
+            { reportResponseDelay = { NORMAL_DELAY } },
+        )
     }),
     DIRECT_COMMANDS_SLOW({
-        toWorkers(MANY, { commandDelay = { random.nextInt(1500).milliseconds } }, { commandDelay = { USUAL } })
+        withWorkerFault(
+            MANY_DIVISOR,
+            { commandDelay = { random.nextInt(1500).milliseconds } },
+            { commandDelay = { NORMAL_DELAY } },
+        )
     }),
     DIRECT_ANSWERS_SLOW({
-        val slow = { random.nextInt(1500).milliseconds }
-        toWorkers(MANY, { commandResponseDelay = slow }, { commandResponseDelay = { USUAL } })
+        val slowDelay = { random.nextInt(1500).milliseconds }
+        withWorkerFault(MANY_DIVISOR, { commandResponseDelay = slowDelay }, { commandResponseDelay = { NORMAL_DELAY } })
     }),
     DIRECT_COMMANDS_LATE({
-        toWorkers(FEW, { unansweredCommandDelay = random.nextInt(1000, 12_000).milliseconds }, {
-            unansweredCommandDelay =
-                null
-        })
+        withWorkerFault(
+            FEW_DIVISOR,
+            { unansweredCommandDelay = random.nextInt(1000, 12_000).milliseconds },
+            { unansweredCommandDelay = null },
+        )
     }),
     WORKERS_CUT_OFF({
-        toWorkers(
-            FEW,
+        withWorkerFault(
+            FEW_DIVISOR,
             {
                 dropsReports = true
                 dropsInbound = true
@@ -105,24 +121,30 @@
             },
         )
     }),
-    WORKERS_DEAF({ toWorkers(FEW, { dropsInbound = true }, { dropsInbound = false }) }),
-    WORKERS_MUTE({ toWorkers(FEW, { dropsReports = true }, { dropsReports = false }) }),
-    WORKERS_HANG({ some(FEW).forEach { it.pause(between(500, 8000)) } }),
-    MACHINES_GONE({ some(FEW).take(2).forEach { cluster.cloud.take(it.host) } }),
-    REPORTS_HELD({ some(MANY).forEach { it.faults.nextReportDelay = between(1000, 12_000) } }),
+    WORKERS_DEAF({ withWorkerFault(FEW_DIVISOR, { dropsInbound = true }, { dropsInbound = false }) }),
+    WORKERS_MUTE({ withWorkerFault(FEW_DIVISOR, { dropsReports = true }, { dropsReports = false }) }),
+    WORKERS_HANG({ randomWorkers(FEW_DIVISOR).forEach { it.pause(randomDuration(500, 8000)) } }),
+    MACHINES_GONE({ randomWorkers(FEW_DIVISOR).take(2).forEach { cluster.cloud.removeMachine(it.host) } }),
+    REPORTS_HELD({ randomWorkers(MANY_DIVISOR).forEach { it.faults.nextReportDelay = randomDuration(1000, 12_000) } }),
     REPORT_COPIES({
-        val late = between(500, 9000)
-        during(between(2000, 8000), { cluster.duplicateReportDelay = late }, { cluster.duplicateReportDelay = null })
+        val copyDelay = randomDuration(500, 9000)
+        withFault(
+            randomDuration(2000, 8000),
+            { cluster.duplicateReportDelay = copyDelay },
+            { cluster.duplicateReportDelay = null },
+        )
+    }),
+    CLOUD_OUTAGE({
+        withFault(randomDuration(1000, 8000), { cluster.cloud.outage = true }, { cluster.cloud.outage = false })
     }),
-    CLOUD_OUTAGE({ during(between(1000, 8000), { cluster.cloud.outage = true }, { cluster.cloud.outage = false }) }),
     WATCHES_TOO_OLD({
         repeat(random.nextInt(2, 6)) {
             cluster.store.compact()
-            delay(between(300, 1500))
+            delay(randomDuration(300, 1500))
         }
     }),
     LISTINGS_SLOW({
-        forAll(
+        withStateFaultForAll(
             {
                 pageSize = random.nextInt(1, 8)
                 pageDelay = { random.nextInt(300).milliseconds }
@@ -134,22 +156,22 @@
         )
     }),
     WATCH_ANSWERS_SLOW({
-        forAll({ watchDelay = { random.nextInt(1500).milliseconds } }, { watchDelay = { Duration.ZERO } })
+        withStateFaultForAll({ watchDelay = { random.nextInt(1500).milliseconds } }, { watchDelay = { Duration.ZERO } })
     }),
-    LEADER_OUT_OF_MEMORY({ cluster.cloud.nextListTooLarge = true }),
+    LEADER_OUT_OF_MEMORY({ cluster.cloud.nextListOversized = true }),
     JOBS_CANCELLED_AT_END({
         repeat(random.nextInt(5, 20)) {
-            workload.cancelEnding()
-            delay(between(100, 400))
+            workload.cancelFinishing()
+            delay(randomDuration(100, 400))
         }
     }),
     JOBS_CANCELLED({ workload.cancelSome(random.nextInt(2, 9)) }),
 }
 
-/** Whether commands of a controller may be carried out long after they were sent. */
-val Trouble.holdsCommands: Boolean get() = this !in WITHOUT_HELD_COMMANDS
+/** Whether the fault may delay a command of a controller for long before it is carried out. */
+val Trouble.delaysCommands: Boolean get() = this !in WITHOUT_DELAYED_COMMANDS
 
-private val WITHOUT_HELD_COMMANDS = setOf(
+private val WITHOUT_DELAYED_COMMANDS = setOf(
     Trouble.STATE_OUTAGE,
     Trouble.STATE_SLOW,
     Trouble.WATCHES_TOO_OLD,
@@ -159,81 +181,81 @@
     Trouble.JOBS_CANCELLED,
 )
 
-private const val LATE_SHARE = 0.3
-private const val MANY = 2
-private const val FEW = 4
-private val USUAL = 3.milliseconds
+private const val AFFECTED_SHARE = 0.3
+private const val MANY_DIVISOR = 2
+private const val FEW_DIVISOR = 4
+private val NORMAL_DELAY = 3.milliseconds
 
-/** What a trouble does its harm with. */
-class TroubleContext(val cluster: SoakCluster, val workload: Workload, val random: Random) {
-    /** A time between two numbers of milliseconds. */
-    fun between(leastMs: Int, mostMs: Int): Duration = random.nextInt(leastMs, mostMs).milliseconds
+/** The cluster, the workload and the random generator that a fault works with. */
+class FaultContext(val cluster: SoakCluster, val workload: Workload, val random: Random) {
+    /** Draws a duration of at least [minMs] and less than [maxMs] milliseconds. */
+    fun randomDuration(minMs: Int, maxMs: Int): Duration = random.nextInt(minMs, maxMs).milliseconds
 
-    /** Of the workers that are up one in [of]. */
-    fun some(of: Int): List<WorkerEmulator> = cluster.cloud.workers.filter { random.nextInt(of) == 0 }
+    /** Draws each running worker with a probability of one in [oneIn]. */
+    fun randomWorkers(oneIn: Int): List<WorkerEmulator> = cluster.cloud.workers.filter { random.nextInt(oneIn) == 0 }
 
-    /** Ends the processes, and starts them again after that long. */
-    suspend fun restart(members: List<SoakMember>, back: Duration) = try {
+    /** Kills the processes and starts them again after [downtime]. */
+    suspend fun restart(members: List<SoakMember>, downtime: Duration) = try {
         members.forEach { it.process.kill() }
-        delay(back)
+        delay(downtime)
     } finally {
         members.forEach { it.process.start() }
     }
 
-    /** Stops the process for that long. */
-    suspend fun pause(member: SoakMember?, span: Duration) = try {
+    /** Pauses the process for [duration]. */
+    suspend fun pause(member: SoakMember?, duration: Duration) = try {
         member?.process?.pause()
-        delay(span)
+        delay(duration)
     } finally {
         member?.process?.resume()
     }
 
-    /** Something is so for that long. */
-    suspend fun during(span: Duration, begin: () -> Unit, end: () -> Unit) = try {
-        begin()
-        delay(span)
+    /** Calls [inject], and [clear] after [duration] or when cancelled. */
+    suspend fun withFault(duration: Duration, inject: () -> Unit, clear: () -> Unit) = try {
+        inject()
+        delay(duration)
     } finally {
-        end()
+        clear()
     }
 
-    /** One controller's way to the state service is so for that long. */
-    suspend fun toState(
+    /** Injects a fault for [duration] between one controller and the state service. */
+    suspend fun withStateFault(
         member: SoakMember?,
-        span: Duration,
-        begin: StateFaults.() -> Unit,
-        end: StateFaults.() -> Unit,
-    ) = during(span, { member?.state?.faults?.begin() }, { member?.state?.faults?.end() })
-
-    /** Every controller's way to the state service is so for a while. */
-    suspend fun forAll(begin: StateFaults.() -> Unit, end: StateFaults.() -> Unit) {
-        val all = cluster.nodes.values.map { it.state.faults }
-        during(between(3000, 9000), { all.forEach(begin) }, { all.forEach(end) })
+        duration: Duration,
+        inject: StateFaults.() -> Unit,
+        clear: StateFaults.() -> Unit,
+    ) = withFault(duration, { member?.state?.faults?.inject() }, { member?.state?.faults?.clear() })
+
+    /** Injects a fault for 3 to 9 seconds between every controller and the state service. */
+    suspend fun withStateFaultForAll(inject: StateFaults.() -> Unit, clear: StateFaults.() -> Unit) {
+        val faults = cluster.membersByName.values.map { it.state.faults }
+        withFault(randomDuration(3000, 9000), { faults.forEach(inject) }, { faults.forEach(clear) })
     }
 
-    /** The messages of one worker in [of] are so for a while. */
-    suspend fun toWorkers(
-        of: Int,
-        begin: topazvale.emulator.WorkerFaults.() -> Unit,
-        end: topazvale.emulator.WorkerFaults.() -> Unit,
+    /** Injects a fault for 2 to 10 seconds into the messages of about one worker in [oneIn]. */
+    suspend fun withWorkerFault(
+        oneIn: Int,
+        inject: topazvale.emulator.WorkerFaults.() -> Unit,
+        clear: topazvale.emulator.WorkerFaults.() -> Unit,
     ) {
-        val hit = some(of).map { it.faults }
-        during(between(2000, 10_000), { hit.forEach(begin) }, { hit.forEach(end) })
+        val affected = randomWorkers(oneIn).map { it.faults }
+        withFault(randomDuration(2000, 10_000), { affected.forEach(inject) }, { affected.forEach(clear) })
     }
 }
 
-/** A trouble at its time. */
-class PlannedTrouble(val at: Duration, val trouble: Trouble, val seed: Int) {
+/** A fault and the time of its injection, counted from the start of the schedule. */
+class ScheduledFault(val at: Duration, val trouble: Trouble, val seed: Int) {
     override fun toString() = "$at $trouble"
 
     companion object {
-        private const val EVERY_S = 3
+        private const val MEAN_INTERVAL_S = 3
 
-        /** The troubles of one run, drawn from its generator: about one every three seconds, so that several overlap. */
-        fun draw(random: Random, span: Duration, kinds: List<Trouble>): List<PlannedTrouble> {
-            val count = (span.inWholeSeconds / EVERY_S).toInt()
-            val last = span.inWholeMilliseconds.toInt()
+        /** Draws the fault schedule of one run: on average one fault every three seconds, so several overlap. */
+        fun draw(random: Random, duration: Duration, kinds: List<Trouble>): List<ScheduledFault> {
+            val count = (duration.inWholeSeconds / MEAN_INTERVAL_S).toInt()
+            val durationMs = duration.inWholeMilliseconds.toInt()
             return List(count) {
-                PlannedTrouble(random.nextInt(last).milliseconds, kinds.random(random), random.nextInt())
+                ScheduledFault(random.nextInt(durationMs).milliseconds, kinds.random(random), random.nextInt())
             }.sortedBy { it.at }
         }
     }
--- a/src/test/kotlin/topazvale/soak/Workload.kt
+++ b/src/test/kotlin/topazvale/soak/Workload.kt
@@ -12,70 +12,69 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** What users submit, ask, repeat and cancel, at all controllers. */
+/** The requests of users to all controllers: submissions, resubmissions, status polls and cancellations. */
 class Workload(
     private val cluster: SoakCluster,
     private val scope: CoroutineScope,
     private val random: Random,
     workers: Int,
 ) {
-    /** The largest job of a team without a limit: with more machines they are larger. */
-    private val mostUnlimited = if (workers < 2 * FEW_WORKERS) MOST_TASKS else MOST_TASKS * 2 * (workers / FEW_WORKERS)
+    /** The upper bound on the tasks of a job whose team has no limit; it grows with the number of workers. */
+    private val maxUnlimitedTasks =
+        if (workers < 2 * BASE_WORKERS) MAX_TASKS else MAX_TASKS * 2 * (workers / BASE_WORKERS)
 
     private val accepted = LinkedHashMap<String, JobSpec>()
     private val cancelled = HashSet<String>()
-    private var number = 0
+    private var lastJobNumber = 0
 
-    /** The jobs that users were told are accepted. */
+    /** The jobs for which a user received the response that they are accepted. */
     val jobs: Collection<JobSpec> get() = accepted.values
 
-    /** Jobs come for that long. */
-    fun start(span: Duration) {
-        scope.launch { submitting(span) }
-        scope.launch { asking(span) }
+    /** Submits and polls jobs for [duration]. */
+    fun start(duration: Duration) {
+        scope.launch { submitJobs(duration) }
+        scope.launch { pollJobs(duration) }
     }
 
-    /** Users cancel [count] jobs that are not over, at once. */
+    /** Cancels up to [count] unfinished jobs at the same time. */
     fun cancelSome(count: Int) {
-        val open = accepted.keys.filter { it !in cancelled && !cluster.observer.isFinished(it) }
-        open.shuffled(random).take(count).forEach(::cancel)
+        val unfinished = accepted.keys.filter { it !in cancelled && !cluster.observer.isFinished(it) }
+        unfinished.shuffled(random).take(count).forEach(::cancel)
     }
 
-    /** Users cancel a job that is about to end, if there is one. */
-    fun cancelEnding() {
-        val ending = accepted.values.filter {
-            it.id !in cancelled && !it.isService &&
-                cluster.observer.isAboutToFinish(it)
-        }
-        ending.randomOrNull(random)?.let { cancel(it.id) }
+    /** Cancels a job that is about to finish, if there is one. */
+    fun cancelFinishing() {
+        val finishing = accepted.values
+            .filter { it.id !in cancelled && !it.isService && cluster.observer.isAboutToFinish(it) }
+        finishing.randomOrNull(random)?.let { cancel(it.id) }
     }
 
-    /** Users cancel every service, so that it ends. */
+    /** Cancels every service, because a service ends only when it is cancelled. */
     fun cancelServices() {
         accepted.values.filter { it.isService && it.id !in cancelled }.forEach { cancel(it.id) }
     }
 
-    /** Asks once about each job that is not known to be over; those that are still open. */
-    suspend fun open(): List<JobSpec> = accepted.values.filter { !cluster.observer.isFinished(it.id) }
-        .filter { cluster.users.poll(it.id) !in FINAL }
+    /** Polls each job that is not known to be finished once, and returns those that are still unfinished. */
+    suspend fun unfinishedJobs(): List<JobSpec> = accepted.values.filter { !cluster.observer.isFinished(it.id) }
+        .filter { cluster.users.poll(it.id) !in FINAL_STATUSES }
 
-    private suspend fun submitting(span: Duration) {
-        val end = cluster.clocks.mark() + span
-        while (end.hasNotPassedNow()) {
-            val spec = job()
-            scope.launch { live(spec) }
-            delay(random.nextInt(LEAST_BETWEEN_MS, MOST_BETWEEN_MS).milliseconds)
+    private suspend fun submitJobs(duration: Duration) {
+        val deadline = cluster.clocks.mark() + duration
+        while (deadline.hasNotPassedNow()) {
+            val spec = nextJob()
+            scope.launch { submitAndFollow(spec) }
+            delay(random.nextInt(MIN_SUBMIT_INTERVAL_MS, MAX_SUBMIT_INTERVAL_MS).milliseconds)
         }
     }
 
-    private suspend fun live(spec: JobSpec) {
+    private suspend fun submitAndFollow(spec: JobSpec) {
         val status = cluster.users.submit(spec)
         cluster.log.add("user", "${spec.id} of ${spec.tasks} tasks, ${spec.shape}, team ${spec.team}: $status")
         if (status > CREATED) return
         accepted[spec.id] = spec
-        if (random.nextInt(REPEATED_OF) == 0) cluster.users.submit(spec)
-        if (random.nextInt(CANCELLED_OF) != 0) return
-        delay(random.nextInt(0, MOST_BEFORE_CANCEL_MS).milliseconds)
+        if (random.nextInt(RESUBMITTED_ONE_IN) == 0) cluster.users.submit(spec)
+        if (random.nextInt(CANCELLED_ONE_IN) != 0) return
+        delay(random.nextInt(0, MAX_CANCEL_DELAY_MS).milliseconds)
         cancel(spec.id)
     }
 
@@ -84,59 +83,59 @@
         scope.launch {
             val status = cluster.users.cancel(id)
             cluster.log.add("user", "$id is cancelled: $status")
-            // At once at all controllers: none may answer something older.
-            cluster.nodes.values.forEach { scope.launch { cluster.users.poll(id, it.port) } }
+            // Polls all controllers at the same time: none may respond with an older status.
+            cluster.membersByName.values.forEach { scope.launch { cluster.users.poll(id, it.port) } }
         }
     }
 
-    private suspend fun asking(span: Duration) {
-        val end = cluster.clocks.mark() + span
-        while (end.hasNotPassedNow()) {
-            delay(ASK_EVERY)
+    private suspend fun pollJobs(duration: Duration) {
+        val deadline = cluster.clocks.mark() + duration
+        while (deadline.hasNotPassedNow()) {
+            delay(POLL_INTERVAL)
             val id = accepted.keys.randomOrNull(random) ?: continue
             scope.launch { cluster.users.poll(id) }
         }
     }
 
-    private fun job(): JobSpec {
-        val id = "job-%05d".format(++number)
-        val estimate = random.nextInt(LEAST_TIME_S, MOST_TIME_S).seconds
-        val limited = random.nextInt(TEAM_OF) == 0
-        val plain = Samples.array.copy(
+    private fun nextJob(): JobSpec {
+        val id = "job-%05d".format(++lastJobNumber)
+        val estimate = random.nextInt(MIN_ESTIMATE_S, MAX_ESTIMATE_S).seconds
+        val isLimited = random.nextInt(LIMITED_TEAM_ONE_IN) == 0
+        val batchJob = Samples.array.copy(
             id = id,
-            team = if (limited) "blue" else "red",
-            tasks = random.nextInt(1, if (limited) MOST_TASKS else mostUnlimited),
-            need = Resources(random.nextInt(1, MOST_CPUS).toDouble(), 0.0, 4.0),
+            team = if (isLimited) "blue" else "red",
+            tasks = random.nextInt(1, if (isLimited) MAX_TASKS else maxUnlimitedTasks),
+            need = Resources(random.nextInt(1, MAX_CPUS).toDouble(), 0.0, 4.0),
             rank = Rank.entries.random(random),
             estimate = estimate,
             image = "img-${random.nextInt(IMAGES)}",
         )
-        return when (random.nextInt(KINDS)) {
-            0 -> plain.copy(oneZone = true)
-            1 -> plain.copy(spread = true)
-            2 -> plain.copy(team = "red", tasks = random.nextInt(1, MOST_TASKS), need = Resources(2.0, 1.0, 8.0))
-            3 -> plain.copy(zone = "b", spotAllowed = false)
+        return when (random.nextInt(JOB_KINDS)) {
+            0 -> batchJob.copy(oneZone = true)
+            1 -> batchJob.copy(spread = true)
+            2 -> batchJob.copy(team = "red", tasks = random.nextInt(1, MAX_TASKS), need = Resources(2.0, 1.0, 8.0))
+            3 -> batchJob.copy(zone = "b", spotAllowed = false)
             4 -> Samples.service.copy(id = id, need = Resources(1.0, 0.0, 2.0))
-            else -> plain
+            else -> batchJob
         }
     }
 
     private companion object {
         const val CREATED = 201
-        const val LEAST_BETWEEN_MS = 250
-        const val MOST_BETWEEN_MS = 900
-        const val MOST_BEFORE_CANCEL_MS = 6000
-        const val REPEATED_OF = 5
-        const val CANCELLED_OF = 4
-        const val LEAST_TIME_S = 2
-        const val MOST_TIME_S = 11
-        const val MOST_TASKS = 7
-        const val FEW_WORKERS = 24
-        const val MOST_CPUS = 5
-        const val TEAM_OF = 6
+        const val MIN_SUBMIT_INTERVAL_MS = 250
+        const val MAX_SUBMIT_INTERVAL_MS = 900
+        const val MAX_CANCEL_DELAY_MS = 6000
+        const val RESUBMITTED_ONE_IN = 5
+        const val CANCELLED_ONE_IN = 4
+        const val MIN_ESTIMATE_S = 2
+        const val MAX_ESTIMATE_S = 11
+        const val MAX_TASKS = 7
+        const val BASE_WORKERS = 24
+        const val MAX_CPUS = 5
+        const val LIMITED_TEAM_ONE_IN = 6
         const val IMAGES = 6
-        const val KINDS = 8
-        val ASK_EVERY = 100.milliseconds
-        val FINAL = setOf("done", "withdrawn")
+        const val JOB_KINDS = 8
+        val POLL_INTERVAL = 100.milliseconds
+        val FINAL_STATUSES = setOf("done", "withdrawn")
     }
 }
