--- a/src/test/kotlin/topazvale/CancellationFailuresTest.kt
+++ b/src/test/kotlin/topazvale/CancellationFailuresTest.kt
@@ -9,11 +9,11 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Cancellations that meet failures: what users were told must hold. */
+/** Cancellations during failures. A status that a user was told must stay true. */
 class CancellationFailuresTest : FailureScenario() {
-    /** The state service refuses the leader alone; jobs are cancelled through another node; then it is out for all. */
-    private fun gap(cancelAfter: Duration) = withCluster {
-        val ids = (1..6).map { long.copy(id = "job-9$it", estimate = 300.seconds) }
+    /** The state service refuses only the leader while jobs are cancelled through another node, then fails for all. */
+    private fun cancelBeforeOutage(cancelAfter: Duration) = withCluster {
+        val ids = (1..6).map { longJob.copy(id = "job-9$it", estimate = 300.seconds) }
         taskTime = { _, _ -> 300.seconds }
         ids.forEach { submit(it) }
         ids.forEach { awaitRunning(it.id, 6) }
@@ -25,9 +25,9 @@
         store.outage = true
         delay(cancelAfter)
         former.state.refusing = false
-        awaitCondition(5.seconds, "what was cancelled is gone at once") { ids.take(4).all { runningCount(it.id) == 0 } }
+        awaitCondition(5.seconds, "the cancelled jobs have stopped") { ids.take(4).all { runningCount(it.id) == 0 } }
         delay(60.seconds)
-        // What nobody cancelled need not fall with it.
+        // The jobs that were not cancelled keep running.
         ids.drop(4).forEach { assertEquals(6, runningCount(it.id), it.id) }
         store.outage = false
         delay(20.seconds)
@@ -37,51 +37,52 @@
     }
 
     @Test
-    fun `cancelled through another node as the leader is refused, then an outage for longer than cancel_s`() =
-        gap(500.milliseconds)
+    fun `jobs cancelled elsewhere while the leader is refused stay cancelled in an outage longer than cancel_s`() =
+        cancelBeforeOutage(500.milliseconds)
 
     @Test
-    fun `cancelled at the very moment at which the leader is refused`() = gap(Duration.ZERO)
+    fun `jobs cancelled at the moment at which the leader is refused stay cancelled`() =
+        cancelBeforeOutage(Duration.ZERO)
 
     @Test
-    fun `a node that has started anew vouches for nothing, and the leases run out in time`() = withCluster {
-        submit(long)
-        awaitRunning(long.id, 6)
-        val former = leader!!
-        former.state.refusing = true
-        val other = followers.first()
-        assertEquals("withdrawn", cancel(long.id, other))
-        store.outage = true
-        other.stop()
-        delay(1.seconds)
-        start(other.name)
-        delay(70.seconds)
-        assertEquals(0, runningCount(long.id))
-        former.state.refusing = false
-        store.outage = false
-        delay(20.seconds)
-        assertEquals("withdrawn", poll(long.id))
-    }
-
-    @Test
-    fun `a cancellation of unknown outcome stops the tasks, and the job runs on if it was not carried out`() =
+    fun `a restarted node has no complete cancellation log, and the leases of cancelled tasks expire in time`() =
         withCluster {
-            submit(long)
-            awaitRunning(long.id, 6)
+            submit(longJob)
+            awaitRunning(longJob.id, 6)
+            val former = leader!!
+            former.state.refusing = true
             val other = followers.first()
-            // It reaches the state service long after all this.
-            other.state.delayedWrites += 1000.seconds
-            assertEquals(null, tryCancel(long.id, other))
-            awaitCondition(6.seconds, "its tasks are stopped") { runningCount(long.id) == 0 }
-            // The node is gone for good, and its word with it.
+            assertEquals("withdrawn", cancel(longJob.id, other))
+            store.outage = true
             other.stop()
-            delay(90.seconds)
-            assertEquals("running", poll(long.id))
-            awaitRunning(long.id, 6)
+            delay(1.seconds)
+            start(other.name)
+            delay(70.seconds)
+            assertEquals(0, runningCount(longJob.id))
+            former.state.refusing = false
+            store.outage = false
+            delay(20.seconds)
+            assertEquals("withdrawn", poll(longJob.id))
         }
 
     @Test
-    fun `after an outage nothing starts before the watch has told of cancellations`() = withCluster {
+    fun `a cancellation with unknown outcome stops the tasks, which restart if it was not carried out`() = withCluster {
+        submit(longJob)
+        awaitRunning(longJob.id, 6)
+        val other = followers.first()
+        // The write reaches the state service only after the end of the test.
+        other.state.delayedWrites += 1000.seconds
+        assertEquals(null, tryCancel(longJob.id, other))
+        awaitCondition(6.seconds, "its tasks are stopped") { runningCount(longJob.id) == 0 }
+        // The node ends for good, and its knowledge of the requested cancellation is lost with it.
+        other.stop()
+        delay(90.seconds)
+        assertEquals("running", poll(longJob.id))
+        awaitRunning(longJob.id, 6)
+    }
+
+    @Test
+    fun `after an outage no task starts before the watch has delivered the cancellations`() = withCluster {
         capacity = 0
         submit(spec)
         val former = leader!!
@@ -100,34 +101,36 @@
     }
 
     @Test
-    fun `a leader that keeps its lease, and learns from neither watch nor peers what users cancel`() = withCluster {
-        submit(long)
-        awaitRunning(long.id, 6)
-        val former = leader!!
-        former.state.watchesHang = true
-        former.cutFromPeers = true
-        cancel(long.id, followers.first())
-        delay(50.seconds)
-        assertEquals(0, runningCount(long.id))
-        submit(spec)
-        awaitDone(spec.id)
-    }
+    fun `tasks stop when a leader with a lease learns of cancellations from neither its watch nor its peers`() =
+        withCluster {
+            submit(longJob)
+            awaitRunning(longJob.id, 6)
+            val former = leader!!
+            former.state.watchesHang = true
+            former.cutFromPeers = true
+            cancel(longJob.id, followers.first())
+            delay(50.seconds)
+            assertEquals(0, runningCount(longJob.id))
+            submit(spec)
+            awaitDone(spec.id)
+        }
 
     @Test
-    fun `the state service answers slowly while users cancel and ask`() = withCluster(taskTime = 10.seconds) {
-        val jobs = (1..6).map { spec.copy(id = "job-4$it") }
-        nodes.values.forEach { it.state.latency = 600.milliseconds }
-        jobs.forEach { submit(it) }
-        delay(5.seconds)
-        jobs.take(3).forEach { cancel(it.id) }
-        repeat(10) { jobs.forEach { poll(it.id) } }
-        jobs.drop(3).forEach { awaitDone(it.id) }
-    }
+    fun `the state service responds slowly while users cancel jobs and poll their status`() =
+        withCluster(taskTime = 10.seconds) {
+            val jobs = (1..6).map { spec.copy(id = "job-4$it") }
+            nodes.values.forEach { it.state.latency = 600.milliseconds }
+            jobs.forEach { submit(it) }
+            delay(5.seconds)
+            jobs.take(3).forEach { cancel(it.id) }
+            repeat(10) { jobs.forEach { poll(it.id) } }
+            jobs.drop(3).forEach { awaitDone(it.id) }
+        }
 
     @Test
-    fun `a cancellation, a question and a submission meet the end of a job's last task`() =
+    fun `a cancellation, a status request and a submission coincide with the end of a job's last task`() =
         withCluster(taskTime = 5.seconds) {
-            // Each time a little later than before, over the whole time from the last task's end to the end of the job.
+            // Each round sends its requests a little later, from the end of the last task to the end of the job.
             for (i in 0..24) {
                 val job = spec.copy(id = "job-8$i", tasks = 1)
                 submit(job)
@@ -136,60 +139,61 @@
                 val (first, second) = followers
                 if (i % 4 == 3) leader!!.state.delayedWrites += 3.seconds
                 if (i % 5 == 4) first.state.delayedWrites += 3.seconds
-                val asking = listOf<suspend () -> Unit>(
+                val requests = listOf<suspend () -> Unit>(
                     { poll(job.id, second) },
                     { submit(job, leader) },
                     { poll(job.id, first) },
                 )
                 coroutineScope {
-                    asking.forEach { launch { it() } }
+                    requests.forEach { launch { it() } }
                     launch { cancel(job.id, first) }
                 }
-                val end = poll(job.id)
+                val finalStatus = poll(job.id)
                 delay(4.seconds)
-                assertEquals(end, poll(job.id), job.id)
+                assertEquals(finalStatus, poll(job.id), job.id)
             }
         }
 
     @Test
-    fun `tasks are cancelled whose machines hang and go on later`() = withCluster {
-        submit(long)
-        awaitRunning(long.id, 6)
+    fun `tasks are cancelled while their machines are paused, and the machines resume later`() = withCluster {
+        submit(longJob)
+        awaitRunning(longJob.id, 6)
         workers.values.filter { it.runningTasks.isNotEmpty() }.forEachIndexed { i, w -> w.pause((11 + i).seconds) }
-        cancel(long.id)
-        handOver()
+        cancel(longJob.id)
+        failOver()
         delay(50.seconds)
-        assertEquals(0, runningCount(long.id))
+        assertEquals(0, runningCount(longJob.id))
     }
 
     @Test
-    fun `a command is held up for longer than cancel_s, and its job cancelled meanwhile`() = withCluster {
+    fun `a command is delayed for longer than cancel_s while its job is cancelled`() = withCluster {
         submit(spec)
         awaitDone(spec.id)
         workers.values.forEach { it.faults.unansweredCommandDelay = 50.seconds }
-        submit(long)
+        submit(longJob)
         delay(700.milliseconds)
-        cancel(long.id)
+        cancel(longJob.id)
         delay(70.seconds)
-        assertEquals("withdrawn", poll(long.id))
+        assertEquals("withdrawn", poll(longJob.id))
     }
 
     @Test
-    fun `a leader keeps only its workers and users, and jobs are cancelled through the new one`() = withCluster {
-        submit(long.copy(tasks = 12))
-        awaitRunning(long.id, 12)
-        val former = leader!!
-        former.state.hanging = true
-        former.cutFromPeers = true
-        awaitCondition(20.seconds, "another one leads") { leader !== former }
-        assertEquals("withdrawn", cancel(long.id, leader))
-        repeat(10) {
-            poll(long.id, former)
-            delay(4.seconds)
+    fun `a former leader reaches only workers and users while a job is cancelled through the new leader`() =
+        withCluster {
+            submit(longJob.copy(tasks = 12))
+            awaitRunning(longJob.id, 12)
+            val former = leader!!
+            former.state.hanging = true
+            former.cutFromPeers = true
+            awaitCondition(20.seconds, "another controller leads") { leader !== former }
+            assertEquals("withdrawn", cancel(longJob.id, leader))
+            repeat(10) {
+                poll(longJob.id, former)
+                delay(4.seconds)
+            }
+            submit(spec, leader)
+            former.state.hanging = false
+            former.cutFromPeers = false
+            awaitDone(spec.id)
         }
-        submit(spec, leader)
-        former.state.hanging = false
-        former.cutFromPeers = false
-        awaitDone(spec.id)
-    }
 }
--- a/src/test/kotlin/topazvale/ClusterTest.kt
+++ b/src/test/kotlin/topazvale/ClusterTest.kt
@@ -35,16 +35,16 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.TimeSource
 
-/** Whole controllers over loopback, with stand-ins for what is outside. */
+/** Complete controllers on the loopback interface, against fakes of the external services and workers. */
 class ClusterTest {
-    private class Running(val vertx: Vertx, val node: Node, val state: FakeStateService, val port: Int)
+    private class RunningNode(val vertx: Vertx, val node: Node, val state: FakeStateService, val port: Int)
 
     private val store = FakeStateStore()
     private val scope = CoroutineScope(Dispatchers.Default)
-    private val clients = smallVertx()
-    private val http = Http(clients, maxConnections = 20, connectTimeout = 2.seconds)
-    private val nodes = ArrayList<Running>()
-    private val cluster =
+    private val clientVertx = smallVertx()
+    private val http = Http(clientVertx, maxConnections = 20, connectTimeout = 2.seconds)
+    private val nodes = ArrayList<RunningNode>()
+    private val cloud =
         FakeCloud(Samples.types.values.toList(), 500.milliseconds, LEASE, scope, http) { nodes.map { it.port } }
     private val spec = Samples.array.copy(tasks = 6, estimate = 1.seconds, need = Samples.array.need.copy(gpus = 0.0))
 
@@ -62,19 +62,19 @@
             Node(
                 vertx,
                 settings,
-                ServiceClients(state, cluster, cluster),
+                ServiceClients(state, cloud, cloud),
                 Sockets(settings.maxConnections, fixedConnections = 0),
             )
-        nodes += Running(vertx, node, state, runBlocking { node.start() })
+        nodes += RunningNode(vertx, node, state, runBlocking { node.start() })
     }
 
-    private fun kill(running: Running) {
+    private fun kill(running: RunningNode) {
         nodes -= running
         running.node.close()
         running.vertx.close()
     }
 
-    /** A node that closes a connection may do so just as it is used once more. */
+    /** Repeats a call without a response: a node may close a connection at the moment at which it is reused. */
     private fun call(method: HttpMethod, path: String, body: ByteArray? = null): HttpResponse = eventually(30.seconds) {
         runBlocking { http.call(Address("127.0.0.1", nodes.last().port), Call(method, path, body, 5.seconds)) }
     }
@@ -93,96 +93,96 @@
         }
     }
 
-    private fun <T : Any> eventually(within: Duration, look: () -> T?): T {
-        val end = TimeSource.Monotonic.markNow() + within
+    private fun <T : Any> eventually(timeout: Duration, probe: () -> T?): T {
+        val end = TimeSource.Monotonic.markNow() + timeout
         while (true) {
-            look()?.let { return it }
-            check(!end.hasPassedNow()) { "not within $within" }
+            probe()?.let { return it }
+            check(!end.hasPassedNow()) { "no result within $timeout" }
             runBlocking { delay(50.milliseconds) }
         }
     }
 
-    private fun done(id: String) = eventually(60.seconds) { status(id).takeIf { it == "done" } }
+    private fun awaitDone(id: String) = eventually(60.seconds) { status(id).takeIf { it == "done" } }
 
     @AfterEach
     fun stop() {
         nodes.toList().forEach(::kill)
         scope.cancel()
-        clients.close()
+        clientVertx.close()
     }
 
     @Test
-    fun `an array is accepted once, run and done for ever`() {
+    fun `an array is accepted once, runs and stays done`() {
         start("node-0")
         assertEquals(201, submit(spec))
         assertEquals(200, submit(spec))
-        done(spec.id)
+        awaitDone(spec.id)
         assertEquals(200, submit(spec))
         assertEquals("done", status(spec.id))
         assertEquals(404, status("job-unknown"))
         assertEquals(422, submit(spec.copy(id = "job-3", team = "nobody")))
-        assertTrue(cluster.duplicateRuns.isEmpty())
+        assertTrue(cloud.duplicateRuns.isEmpty())
     }
 
     @Test
-    fun `a leader's end loses nothing and doubles nothing`() {
+    fun `the end of a leader loses no task and starts none twice`() {
         start("node-0")
         submit(spec.copy(tasks = 40))
-        eventually(30.seconds) { cluster.running.values.sum().takeIf { it > 0 } }
+        eventually(30.seconds) { cloud.running.values.sum().takeIf { it > 0 } }
         start("node-1")
         kill(nodes.first())
-        done(spec.id)
-        assertTrue(cluster.duplicateRuns.isEmpty())
+        awaitDone(spec.id)
+        assertTrue(cloud.duplicateRuns.isEmpty())
     }
 
     @Test
-    fun `a leader refused by the state service alone gives way`() {
+    fun `a leader that is the only node refused by the state service is replaced`() {
         start("node-0")
         submit(spec.copy(tasks = 40))
-        eventually(30.seconds) { cluster.running.values.sum().takeIf { it > 0 } }
+        eventually(30.seconds) { cloud.running.values.sum().takeIf { it > 0 } }
         start("node-1")
         nodes.first().state.refusing = true
-        done(spec.id)
-        assertTrue(cluster.duplicateRuns.isEmpty())
+        awaitDone(spec.id)
+        assertTrue(cloud.duplicateRuns.isEmpty())
     }
 
     @Test
-    fun `a leader that hears no worker any more gives way`() {
+    fun `a leader that workers no longer reach is replaced`() {
         start("node-0")
         submit(spec.copy(tasks = 40))
-        eventually(30.seconds) { cluster.running.values.sum().takeIf { it > 0 } }
+        eventually(30.seconds) { cloud.running.values.sum().takeIf { it > 0 } }
         start("node-1")
-        cluster.unreachablePort = nodes.first().port
-        done(spec.id)
+        cloud.unreachablePort = nodes.first().port
+        awaitDone(spec.id)
         assertEquals("node-1", store.get(Keys.LEADER)?.data?.get("member"))
-        assertTrue(cluster.duplicateRuns.isEmpty())
+        assertTrue(cloud.duplicateRuns.isEmpty())
     }
 
     @Test
-    fun `a cancelled job has nothing running and stays cancelled`() {
+    fun `a cancelled job has no running tasks and stays cancelled`() {
         start("node-0")
         submit(spec.copy(tasks = 40))
         assertEquals(200, call(HttpMethod.POST, "/submissions/${spec.id}/abort").status)
         assertEquals("withdrawn", status(spec.id))
         eventually(30.seconds) {
-            Unit.takeIf { store.get("f/${spec.id}") != null && cluster.running.values.sum() == 0 }
+            Unit.takeIf { store.get("f/${spec.id}") != null && cloud.running.values.sum() == 0 }
         }
         assertEquals("withdrawn", status(spec.id))
     }
 
     @Test
-    fun `straight orders that arrive late start nothing twice`() {
+    fun `delayed direct commands start no task twice`() {
         start("node-0")
-        cluster.commandDelay = 700.milliseconds
+        cloud.commandDelay = 700.milliseconds
         submit(spec.copy(tasks = 20))
-        done(spec.id)
+        awaitDone(spec.id)
         runBlocking { delay(1.seconds) }
-        assertTrue(cluster.duplicateRuns.isEmpty())
-        assertEquals(0, cluster.running.values.sum())
+        assertTrue(cloud.duplicateRuns.isEmpty())
+        assertEquals(0, cloud.running.values.sum())
     }
 
     @Test
-    fun `without the state service users are told when to come back`() {
+    fun `users get status 503 while the state service is unavailable`() {
         start("node-0")
         submit(spec)
         nodes.single().state.refusing = true
@@ -194,67 +194,67 @@
     }
 
     @Test
-    fun `a process that is back at once leads anew, also in the middle of an election`() {
+    fun `a process that restarts at once leads again, also in the middle of an election`() {
         start("node-0")
         submit(spec.copy(tasks = 40))
-        eventually(30.seconds) { cluster.running.values.sum().takeIf { it > 0 } }
+        eventually(30.seconds) { cloud.running.values.sum().takeIf { it > 0 } }
         val tokens = ArrayList<Long>()
         repeat(4) {
             tokens += eventually(10.seconds) { store.get(Keys.LEADER)?.version }
             kill(nodes.single())
             start("node-0")
-            // The key of the former life is still there, or the new one is just being taken.
+            // The leader key of the former incarnation still exists, or the new incarnation is about to write it.
             runBlocking { delay((it * 40).milliseconds) }
         }
-        done(spec.id)
+        awaitDone(spec.id)
         assertEquals(tokens.sorted(), tokens, "no token is used twice")
-        assertTrue(cluster.duplicateRuns.isEmpty())
+        assertTrue(cloud.duplicateRuns.isEmpty())
     }
 
     @Test
-    fun `a machine that does not hear us is replaced and its work done elsewhere`() {
+    fun `a machine that receives no responses is replaced and its tasks run elsewhere`() {
         start("node-0")
-        cluster.hostsDroppingInbound += "n-000001"
+        cloud.hostsDroppingInbound += "n-000001"
         submit(spec.copy(tasks = 40))
-        done(spec.id)
-        eventually(60.seconds) { Unit.takeIf { "n-000001" !in runBlocking { cluster.listMachines() }.map { it.host } } }
-        assertTrue(cluster.duplicateRuns.isEmpty())
+        awaitDone(spec.id)
+        eventually(60.seconds) { Unit.takeIf { "n-000001" !in runBlocking { cloud.listMachines() }.map { it.host } } }
+        assertTrue(cloud.duplicateRuns.isEmpty())
     }
 
     @Test
-    fun `late copies of reports change nothing, over a change of leader either`() {
+    fun `delayed copies of reports change nothing, also over a change of leader`() {
         start("node-0")
-        cluster.duplicateReportDelay = LEASE + 1.seconds
+        cloud.duplicateReportDelay = LEASE + 1.seconds
         submit(spec.copy(tasks = 40))
-        eventually(30.seconds) { cluster.running.values.sum().takeIf { it > 0 } }
+        eventually(30.seconds) { cloud.running.values.sum().takeIf { it > 0 } }
         start("node-1")
         kill(nodes.first())
-        done(spec.id)
+        awaitDone(spec.id)
         val second = spec.copy(id = "job-5", tasks = 40)
         submit(second)
-        done(second.id)
-        assertTrue(cluster.duplicateRuns.isEmpty())
+        awaitDone(second.id)
+        assertTrue(cloud.duplicateRuns.isEmpty())
         assertEquals("done", status(spec.id))
     }
 
     @Test
-    fun `a leader cut from the state service and its peers sends users and then workers away`() {
+    fun `a leader cut off from the state service and its peers rejects users and then workers`() {
         start("node-0")
         submit(spec.copy(tasks = 200))
-        eventually(30.seconds) { cluster.running.values.sum().takeIf { it > 0 } }
+        eventually(30.seconds) { cloud.running.values.sum().takeIf { it > 0 } }
         val cut = nodes.single()
         cut.state.hanging = true
         eventually(10.seconds) { call(HttpMethod.GET, "/healthz").status.takeIf { it == 503 } }
-        val asked = TimeSource.Monotonic.markNow()
+        val requestedAt = TimeSource.Monotonic.markNow()
         assertEquals(503, status("job-unknown"))
-        assertTrue(asked.elapsedNow() < 1.seconds, "the answer is not held back")
+        assertTrue(requestedAt.elapsedNow() < 1.seconds, "the response is not delayed")
         start("node-1")
-        done(spec.id)
-        assertTrue(cluster.duplicateRuns.isEmpty())
+        awaitDone(spec.id)
+        assertTrue(cloud.duplicateRuns.isEmpty())
     }
 
     @Test
-    fun `after any mix of troubles every job is answered for`() {
+    fun `every job finishes after a random mix of faults`() {
         start("node-0")
         start("node-1")
         val jobs = (1..6).map { spec.copy(id = "job-1$it") }
@@ -265,17 +265,17 @@
                 0 -> kill(nodes.first()).also { start("node-${random.nextInt(2, 9)}") }
                 1 -> nodes.first().state.refusing = true
                 2 -> nodes.last().state.losesResponses = true
-                else -> cluster.commandDelay = 300.milliseconds
+                else -> cloud.commandDelay = 300.milliseconds
             }
             runBlocking { delay(random.nextInt(300).milliseconds) }
             nodes.forEach {
                 it.state.refusing = false
                 it.state.losesResponses = false
             }
-            cluster.commandDelay = null
+            cloud.commandDelay = null
         }
-        for (job in jobs) done(job.id)
-        assertTrue(cluster.duplicateRuns.isEmpty())
+        for (job in jobs) awaitDone(job.id)
+        assertTrue(cloud.duplicateRuns.isEmpty())
     }
 
     private companion object {
--- a/src/test/kotlin/topazvale/InvariantExtension.kt
+++ b/src/test/kotlin/topazvale/InvariantExtension.kt
@@ -8,19 +8,19 @@
 import org.junit.jupiter.api.extension.ExtensionContext
 import topazvale.reconcile.Invariants
 
-/** Fails every test in which a controller finds one of its own invariants violated. */
+/** Fails every test in which a controller detects a violation of one of its invariants. */
 class InvariantExtension :
     BeforeEachCallback,
     AfterEachCallback {
-    private var before = 0.0
+    private var violationsBefore = 0.0
 
     override fun beforeEach(context: ExtensionContext) {
-        before = violations()
+        violationsBefore = violations()
     }
 
     override fun afterEach(context: ExtensionContext) {
         if (context.tags.contains(VIOLATES)) return
-        assertEquals(before, violations(), "invariants are violated, see the log")
+        assertEquals(violationsBefore, violations(), "invariants were violated, see the log")
     }
 
     companion object {
@@ -28,7 +28,7 @@
         const val VIOLATES = "violates-invariants"
         private val registry = SimpleMeterRegistry().also(Metrics::addRegistry)
 
-        /** How many violations there have been in this process. */
+        /** The number of violations that this process has counted so far. */
         fun violations(): Double = registry.find(Invariants.METRIC).counters().sumOf { it.count() }
     }
 }
--- a/src/test/kotlin/topazvale/JobEndFailuresTest.kt
+++ b/src/test/kotlin/topazvale/JobEndFailuresTest.kt
@@ -13,39 +13,40 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Jobs end and are cancelled while the leader's view of them lags: its watch is told that it is too old, listings come
- * page by page, answers to watches take their time. A job that ended was taken for a new one, and its tasks were started
- * again; a worker that kept a result ended it at once, which hid the start.
+ * Guards against tasks that start after the end of their job. Jobs end and are cancelled while the leader's view of
+ * them is stale: the state service rejects its watch as too old, listings arrive page by page, and watch responses are
+ * delayed. The leader took an ended job for a new one and started its tasks again. A worker that had kept the result
+ * ended such a task at once, which hid the start.
  */
 class JobEndFailuresTest : FailureScenario() {
     @Test
-    fun `no task begins once its job is done, however late the leader's view`() {
+    fun `no task starts after its job is done, however stale the leader's view is`() {
         for (seed in 1..SEEDS) {
             val random = Random(seed)
             withCluster(taskTime = 3.seconds) {
                 coroutineScope {
-                    val lagging = launch { lag(random) }
-                    comeAndEnd(random, until = 40.seconds)
-                    lagging.cancel()
+                    val delaying = launch { compactAndDelayReads(random) }
+                    runShortJobs(random, duration = 40.seconds)
+                    delaying.cancel()
                 }
-                // No command is held up here, so that not one is on its way either.
+                // No fault delays commands here, so no start can still be in flight when a job ends.
                 assertEquals(emptyList<String>(), observer.attemptsAfterDone, "seed $seed")
             }
         }
     }
 
-    /** Short jobs, some cancelled at about their end. */
-    private suspend fun FakeCluster.comeAndEnd(random: Random, until: Duration) = coroutineScope {
-        val end = clocks.mark() + until
+    /** Submits short jobs for [duration], and cancels some of them at about the time at which they end. */
+    private suspend fun FakeCluster.runShortJobs(random: Random, duration: Duration) = coroutineScope {
+        val end = clocks.mark() + duration
         var number = 100
         while (end.hasNotPassedNow()) {
             val job = spec.copy(id = "job-${number++}", tasks = random.nextInt(1, 3))
-            launch { live(job, random) }
+            launch { runJob(job, random) }
             delay(random.nextInt(200, 700).milliseconds)
         }
     }
 
-    private suspend fun FakeCluster.live(job: JobSpec, random: Random) {
+    private suspend fun FakeCluster.runJob(job: JobSpec, random: Random) {
         submit(job)
         if (random.nextInt(2) == 0) {
             delay(random.nextInt(2500, 4500).milliseconds)
@@ -55,8 +56,8 @@
         }
     }
 
-    /** The leader's watch is too old again and again, and what it reads comes late. */
-    private suspend fun FakeCluster.lag(random: Random) {
+    /** Repeatedly compacts the store, which makes the leader's watch too old, and delays what the nodes read. */
+    private suspend fun FakeCluster.compactAndDelayReads(random: Random) {
         while (true) {
             for (node in nodes.values) {
                 node.state.pageSize = random.nextInt(1, 6)
--- a/src/test/kotlin/topazvale/KnownRedTest.kt
+++ b/src/test/kotlin/topazvale/KnownRedTest.kt
@@ -10,40 +10,45 @@
 
 class KnownRedTest {
     @Test
-    fun `at most three cases are known to be red, and each is there`() {
+    fun `at most three cases are listed as known red, and each exists`() {
         assertTrue(KnownRed.listed.size <= 3, "${KnownRed.listed}")
-        for (red in KnownRed.listed.filter { it.soakSeed == null }) {
-            val owner = Class.forName(className(red.test))
-            val name = red.test.removePrefix(owner.name + ".")
-            assertTrue(owner.declaredMethods.any { it.name == name }, red.test)
+        for (entry in KnownRed.listed.filter { it.soakSeed == null }) {
+            val owner = Class.forName(className(entry.test))
+            val name = entry.test.removePrefix(owner.name + ".")
+            assertTrue(owner.declaredMethods.any { it.name == name }, entry.test)
         }
-        for (red in KnownRed.listed.filter { it.soakSeed != null }) SoakCommand.parse(red.command)
+        for (entry in KnownRed.listed.filter { it.soakSeed != null }) SoakCommand.parse(entry.command)
     }
 
-    /** The name of a test may hold dots: the class ends with the first part that begins with a capital. */
+    /** The class of a listed test: ends at the first part with an initial capital, as test names may contain dots. */
     private fun className(text: String): String {
         val parts = text.split('.')
         return parts.take(parts.indexOfFirst { it.first().isUpperCase() } + 1).joinToString(".")
     }
 
     @Test
-    fun `a line names test, command and seed, what was seen, and an issue by number`() {
-        val line = "a.B.c d | mvn test -Dtest=B, seed 3 | job-1 comes back | issue 29"
-        assertEquals(KnownRed("a.B.c d", "mvn test -Dtest=B, seed 3", "job-1 comes back", 29), KnownRed.parse(line))
-        val others = listOf(
+    fun `a line consists of test, command and seed, what was seen, and an issue number`() {
+        val wellFormed = "a.B.c d | mvn test -Dtest=B, seed 3 | job-1 comes back | issue 29"
+        assertEquals(
+            KnownRed("a.B.c d", "mvn test -Dtest=B, seed 3", "job-1 comes back", 29),
+            KnownRed.parse(wellFormed),
+        )
+        val malformedLines = listOf(
             "a.B.c d",
             "a.B.c d | why | issue 1",
             "a.B.c d | mvn test | | issue 1",
             "a.B.c d | mvn test | seen | soon",
             "a.B.c d | mvn test | seen | issue 1 | more",
         )
-        for (other in others) assertThrows(IllegalArgumentException::class.java, { KnownRed.parse(other) }, other)
+        for (line in malformedLines) assertThrows(IllegalArgumentException::class.java, { KnownRed.parse(line) }, line)
     }
 
-    /** Only the listed seed, under the listed command, for the listed kinds of failure, is passed over. */
+    /** A failed seed is tolerated only if the list has the seed, its command and all kinds of its failures. */
     @Test
-    fun `of soak seeds just the listed case is passed over`() {
-        val red = KnownRed.parse("soak seed 4 | ./soak --first 4 --seeds 1 --seconds 30 | ran_twice, left: x | issue 9")
+    fun `a soak seed is tolerated only as listed`() {
+        val entry = KnownRed.parse(
+            "soak seed 4 | ./soak --first 4 --seeds 1 --seconds 30 | ran_twice, left: x | issue 9",
+        )
         val listed = SoakCommand.parse("./soak --first 3 --seeds 2 --seconds 30")
         val cases = listOf(
             Triple(4L, listOf("ran_twice: job-1/0 on n-1 at 3s"), SeedVerdict.KNOWN_RED),
@@ -55,12 +60,12 @@
             Triple(3L, emptyList(), SeedVerdict.PASSED),
         )
         for ((seed, failures, verdict) in cases) {
-            assertEquals(verdict, SoakVerdict(listOf(red), listed).of(seed, failures), "seed $seed: $failures")
+            assertEquals(verdict, SoakVerdict(listOf(entry), listed).of(seed, failures), "seed $seed: $failures")
         }
-        val others = listOf("--seconds 40", "--seconds 30 --workers 400", "--seconds 30 --only LEADER_ENDS")
-        for (options in others) {
-            val other = SoakCommand.parse("./soak --first 4 --seeds 1 $options")
-            val verdict = SoakVerdict(listOf(red), other).of(4, listOf("ran_twice: job-1/0"))
+        val otherOptions = listOf("--seconds 40", "--seconds 30 --workers 400", "--seconds 30 --only LEADER_ENDS")
+        for (options in otherOptions) {
+            val otherCommand = SoakCommand.parse("./soak --first 4 --seeds 1 $options")
+            val verdict = SoakVerdict(listOf(entry), otherCommand).of(4, listOf("ran_twice: job-1/0"))
             assertEquals(SeedVerdict.FAILED, verdict, options)
         }
     }
--- a/src/test/kotlin/topazvale/LeadershipFailuresTest.kt
+++ b/src/test/kotlin/topazvale/LeadershipFailuresTest.kt
@@ -8,42 +8,48 @@
 import kotlin.time.Duration.Companion.minutes
 import kotlin.time.Duration.Companion.seconds
 
-/** Changes of leader that meet other failures. */
+/** Changes of leader during other failures. */
 class LeadershipFailuresTest : FailureScenario() {
     @Test
-    fun `a report is held back until a new leader has acted`() = withCluster {
+    fun `a report is delayed until a new leader has acted`() = withCluster {
         submit(spec.copy(tasks = 12))
         awaitRunning(spec.id, 12)
         workers.values.forEach { it.faults.nextReportDelay = 12.seconds }
         delay(3.seconds)
-        handOver()
+        failOver()
         delay(40.seconds)
         awaitDone(spec.id)
     }
 
     @Test
-    fun `a report from before a start is held back until a new leader has read of the start`() = withCluster {
+    fun `a report sent before a start is delayed until a new leader has read the record of the start`() = withCluster {
         submit(spec.copy(tasks = 12))
         awaitDone(spec.id)
         workers.values.forEach { it.faults.nextReportDelay = 9.seconds }
-        awaitCondition(10.seconds, "all have sent it") { workers.values.all { it.faults.nextReportDelay == null } }
-        submit(long)
-        awaitRunning(long.id, 6)
+        awaitCondition(10.seconds, "every worker has sent its delayed report") {
+            workers.values.all {
+                it.faults.nextReportDelay == null
+            }
+        }
+        submit(longJob)
+        awaitRunning(longJob.id, 6)
         val running = workers.values.filter { it.runningTasks.isNotEmpty() }
         running.forEach { it.faults.canReach = { false } }
-        handOver()
-        awaitCondition(10.seconds, "the reports have come") { running.all { it.faults.delayedReportArrived } }
+        failOver()
+        awaitCondition(10.seconds, "the delayed reports have arrived") {
+            running.all { it.faults.delayedReportArrived }
+        }
         delay(2.seconds)
         running.forEach { it.faults.canReach = { true } }
         delay(60.seconds)
-        awaitRunning(long.id, 6)
+        awaitRunning(longJob.id, 6)
     }
 
     @Test
-    fun `controllers hand over and back, all end, and one returns within a second`() = withCluster {
+    fun `leadership changes twice, all controllers end, and one restarts within a second`() = withCluster {
         submit(spec.copy(tasks = 20))
         awaitRunning(spec.id, 20)
-        repeat(2) { handOver(back = 300.milliseconds) }
+        repeat(2) { failOver(restartAfter = 300.milliseconds) }
         val names = nodes.keys.toList()
         nodes.values.toList().forEach { it.stop() }
         delay(700.milliseconds)
@@ -54,20 +60,20 @@
     }
 
     @Test
-    fun `arrays bound to one zone lose machines, while the leader changes too`() = withCluster(taskTime = 15.seconds) {
+    fun `an array bound to one zone loses machines while the leader changes`() = withCluster(taskTime = 15.seconds) {
         val bound = spec.copy(id = "job-3", oneZone = true, tasks = 16)
         submit(bound)
         submit(spec.copy(tasks = 10, spread = true))
         awaitRunning(bound.id, 16)
         workers.values.filter { it.runningTasks.isNotEmpty() }.take(3).forEach { it.faults.canReach = { false } }
-        handOver()
+        failOver()
         workers.values.filter { it.runningTasks.isNotEmpty() }.take(1).forEach { it.pause(20.seconds) }
         awaitDone(bound.id)
         awaitDone(spec.id)
     }
 
     @Test
-    fun `transactions without an answer are carried out after newer ones, over a change of leader too`() =
+    fun `transactions without a response are carried out after newer ones, also over a change of leader`() =
         withCluster(taskTime = 6.seconds) {
             val jobs = (1..8).map { spec.copy(id = "job-3$it", tasks = 4) }
             repeat(3) { round ->
@@ -75,7 +81,7 @@
                     repeat(12) { i -> node.state.delayedWrites += ((i * 3 + round) % 11 + 2).seconds }
                 }
                 jobs.forEach { submit(it) }
-                if (round > 0) handOver(back = 500.milliseconds)
+                if (round > 0) failOver(restartAfter = 500.milliseconds)
                 delay(10.seconds)
             }
             jobs.take(2).forEach { cancel(it.id) }
@@ -89,20 +95,20 @@
         withCluster(taskTime = 60.seconds) {
             submit(spec.copy(tasks = 30))
             awaitRunning(spec.id, 30)
-            val inside = leader!!
+            val leaderInZone = leader!!
             val zone = workers.values.filterIndexed { i, _ -> i % 2 == 0 }
-            inside.state.hanging = true
-            inside.cutFromPeers = true
-            for (worker in workers.values) worker.faults.canReach = { (it == inside.name) == (worker in zone) }
+            leaderInZone.state.hanging = true
+            leaderInZone.cutFromPeers = true
+            for (worker in workers.values) worker.faults.canReach = { (it == leaderInZone.name) == (worker in zone) }
             delay(40.seconds)
-            inside.state.hanging = false
-            inside.cutFromPeers = false
+            leaderInZone.state.hanging = false
+            leaderInZone.cutFromPeers = false
             workers.values.forEach { it.faults.canReach = { true } }
             awaitDone(spec.id, within = 300.seconds)
         }
 
     @Test
-    fun `leaders change ten times in two minutes, also inside an outage`() = withCluster(taskTime = 25.seconds) {
+    fun `leaders change ten times in two minutes, also during an outage`() = withCluster(taskTime = 25.seconds) {
         submit(spec.copy(tasks = 24))
         repeat(10) { round ->
             val former = leader
@@ -118,66 +124,66 @@
     }
 
     @Test
-    fun `all controllers are away for longer than the lease`() = withCluster(taskTime = 25.seconds) {
+    fun `all controllers are down for longer than the lease`() = withCluster(taskTime = 25.seconds) {
         submit(spec.copy(tasks = 12))
-        submit(long)
+        submit(longJob)
         awaitRunning(spec.id, 12)
         val names = nodes.keys.toList()
         nodes.values.toList().forEach { it.stop() }
         delay(25.seconds)
-        assertTrue(running.isEmpty(), "the leases have run out")
+        assertTrue(running.isEmpty(), "the leases have expired")
         names.forEach { start(it) }
-        cancel(long.id)
+        cancel(longJob.id)
         awaitDone(spec.id)
-        assertEquals("withdrawn", poll(long.id))
+        assertEquals("withdrawn", poll(longJob.id))
     }
 
     @Test
-    fun `a leader ends while machines cannot be reached or do not hear the new one`() = withCluster {
-        submit(long.copy(tasks = 20))
-        awaitRunning(long.id, 20)
-        val (deaf, away) = workers.values.filter { it.runningTasks.isNotEmpty() }.take(4).chunked(2)
-        deaf.forEach { it.faults.dropsInbound = true }
-        away.forEach { it.faults.canReach = { false } }
-        handOver()
+    fun `a leader ends while some machines are unreachable and others drop inbound messages`() = withCluster {
+        submit(longJob.copy(tasks = 20))
+        awaitRunning(longJob.id, 20)
+        val (droppingInbound, unreachable) = workers.values.filter { it.runningTasks.isNotEmpty() }.take(4).chunked(2)
+        droppingInbound.forEach { it.faults.dropsInbound = true }
+        unreachable.forEach { it.faults.canReach = { false } }
+        failOver()
         delay(50.seconds)
-        awaitRunning(long.id, 20)
-        deaf.forEach { it.faults.dropsInbound = false }
-        away.forEach { it.faults.canReach = { true } }
+        awaitRunning(longJob.id, 20)
+        droppingInbound.forEach { it.faults.dropsInbound = false }
+        unreachable.forEach { it.faults.canReach = { true } }
         delay(20.seconds)
-        cancel(long.id)
+        cancel(longJob.id)
         delay(45.seconds)
     }
 
     @Test
-    fun `jobs of a few tasks end far apart over changes of leader`() = withCluster {
+    fun `the tasks of small jobs end at very different times over changes of leader`() = withCluster {
         val jobs = (1..4).map { spec.copy(id = "job-6$it", tasks = 3, oneZone = it % 2 == 0) }
         taskTime = { _, index -> (5 + index * 35).seconds }
         jobs.forEach { submit(it) }
         awaitRunning(jobs.last().id, 3)
         delay(7.seconds)
-        // The marks of what is done get lost with the leader.
-        handOver()
+        // Marks of finished tasks that the leader has not written yet are lost with it.
+        failOver()
         delay(20.seconds)
-        handOver()
+        failOver()
         jobs.forEach { awaitDone(it.id) }
     }
 
     @Test
-    fun `a team at its limit, machines that cannot be asked, a new leader and a cancellation`() =
+    fun `a team at its limit has a job cancelled while a machine is unreachable and the leader is new`() =
         withCluster(taskTime = 30.seconds) {
-            val gpu = Samples.array.copy(id = "job-5", tasks = 8)
-            val next = gpu.copy(id = "job-6")
-            taskTime = { job, _ -> if (job.id == gpu.id) 300.seconds else 30.seconds }
-            submit(gpu)
-            awaitRunning(gpu.id, 8)
-            submit(next)
-            val asked = workers.values.filter { it.runningTasks.isNotEmpty() }.take(1)
-            asked.forEach { it.faults.canReach = { false } }
-            handOver()
-            cancel(gpu.id)
+            val gpuJob = Samples.array.copy(id = "job-5", tasks = 8)
+            val nextJob = gpuJob.copy(id = "job-6")
+            taskTime = { job, _ -> if (job.id == gpuJob.id) 300.seconds else 30.seconds }
+            submit(gpuJob)
+            awaitRunning(gpuJob.id, 8)
+            submit(nextJob)
+            val cutOff = workers.values.filter { it.runningTasks.isNotEmpty() }.take(1)
+            cutOff.forEach { it.faults.canReach = { false } }
+            failOver()
+            cancel(gpuJob.id)
             delay(40.seconds)
-            assertEquals(0, runningCount(gpu.id))
-            awaitDone(next.id)
+            assertEquals(0, runningCount(gpuJob.id))
+            awaitDone(nextJob.id)
         }
 }
--- a/src/test/kotlin/topazvale/LoopFailuresTest.kt
+++ b/src/test/kotlin/topazvale/LoopFailuresTest.kt
@@ -8,14 +8,15 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Something fails within a loop of a controller. An `Error` went past the handler, which caught exceptions alone: the loop
- * was gone, the term went on, and nothing was started any more. Seen as a leader ran out of heap at about 4,000 machines:
- * its planning loop died at 277 s, and its lease was renewed for ever after.
+ * Guards against a controller that goes on without one of its loops. The failure handler of a loop caught only
+ * exceptions, so an `Error` ended the loop while the term went on, and no task was started any more. A leader that ran
+ * out of heap at about 4,000 machines showed it: its planning loop died at 277 s, and it renewed its lease forever
+ * after.
  */
 class LoopFailuresTest : FailureScenario() {
     private enum class Role { LEADER, FOLLOWER, SUCCESSOR }
 
-    /** The call that fails once, and in which loop that is. */
+    /** The call that fails once, the loop that makes it, and the controllers at which it fails. */
     private class Case(val loop: String, val role: Role, val call: String)
 
     private val cases = listOf(
@@ -34,71 +35,73 @@
         Case("peers", Role.FOLLOWER, "peer"),
     )
 
-    /** What has become of a call that fails once at each controller that it is planted in. */
-    private class Planted {
+    /** Counts the injected failures of a call, and the later calls of the same name. */
+    private class InjectedFailures {
         var failed = 0
         var callsSince = 0
     }
 
-    /** A job runs, another one comes, and the call fails at the controllers of the case. */
-    private suspend fun FakeCluster.plant(case: Case, failure: () -> Throwable): Planted {
+    /** Runs a job, makes the call fail once at each controller of the case, and submits another job. */
+    private suspend fun FakeCluster.injectFailure(case: Case, failure: () -> Throwable): InjectedFailures {
         submit(spec)
         awaitRunning(spec.id, 2)
-        val planted = Planted()
-        val hit = if (case.role == Role.LEADER) listOf(leader!!) else followers
-        for (member in hit) {
-            var own = 0
+        val injected = InjectedFailures()
+        val targets = if (case.role == Role.LEADER) listOf(leader!!) else followers
+        for (member in targets) {
+            var calls = 0
             member.failure = { call ->
-                if (call == case.call && own++ > 0) planted.callsSince++
-                if (call == case.call && own == 1) failure().also { planted.failed++ } else null
+                if (call == case.call && calls++ > 0) injected.callsSince++
+                if (call == case.call && calls == 1) failure().also { injected.failed++ } else null
             }
         }
         submit(spec.copy(id = "job-2"), followers.first())
-        if (case.role != Role.LEADER) handOver()
-        awaitCondition(60.seconds, "the call fails") { planted.failed > 0 }
-        return planted
+        if (case.role != Role.LEADER) failOver()
+        awaitCondition(60.seconds, "the call fails") { injected.failed > 0 }
+        return injected
     }
 
-    private suspend fun FakeCluster.untilAllDone() {
+    private suspend fun FakeCluster.awaitAllDone() {
         submit(spec.copy(id = "job-3"))
         for (id in listOf(spec.id, "job-2", "job-3")) awaitDone(id, 120.seconds)
     }
 
-    private fun play(case: Case, failure: () -> Throwable) = withCluster {
-        val planted = plant(case, failure)
+    private fun checkRecovery(case: Case, failure: () -> Throwable) = withCluster {
+        val injected = injectFailure(case, failure)
         delay(5.seconds)
-        untilAllDone()
-        // A loop of a term goes on in another term; the others are begun again where they failed.
-        if (case.loop in OUTSIDE_TERMS) awaitCondition(60.seconds, "the loop goes on") { planted.callsSince > 0 }
+        awaitAllDone()
+        // A loop of a term runs again in another term; the other loops restart in the controller where they failed.
+        if (case.loop in OUTSIDE_TERMS) awaitCondition(60.seconds, "the loop runs again") { injected.callsSince > 0 }
     }
 
-    /** Memory that has run out may have broken any loop, not only the one that is told of it. */
-    private fun playFatal(case: Case) = withCluster {
-        plant(case) { OutOfMemoryError("planted") }
+    /** Exhausted memory may have broken any loop, not only the one that gets the error, so the process has to end. */
+    private fun checkFatalError(case: Case) = withCluster {
+        injectFailure(case) { OutOfMemoryError("injected failure") }
         awaitCondition(60.seconds, "the process ends") { fatalFailures.isNotEmpty() }
         assertTrue(fatalFailures.all { it is OutOfMemoryError }, "$fatalFailures")
-        awaitCondition(30.seconds, "all processes are back") { nodes.size == 3 }
-        untilAllDone()
+        awaitCondition(30.seconds, "all processes have restarted") { nodes.size == 3 }
+        awaitAllDone()
     }
 
-    private fun playAll(failure: () -> Throwable) = all { play(it, failure) }
+    private fun failInAllCases(failure: () -> Throwable) = checkAllCases { checkRecovery(it, failure) }
 
-    private fun all(play: (Case) -> Unit) {
+    private fun checkAllCases(check: (Case) -> Unit) {
         val failures = cases.mapNotNull { case ->
-            runCatching { play(case) }.exceptionOrNull()?.let { "${case.loop} (${case.role}): ${it.message}" }
+            runCatching { check(case) }.exceptionOrNull()?.let { "${case.loop} (${case.role}): ${it.message}" }
         }
         assertEquals(emptyList<String>(), failures)
     }
 
     @Test
-    fun `an error in a loop ends the term or begins the loop again, and all jobs go on`() =
-        playAll { AssertionError("planted") }
+    fun `an error in a loop ends the term or restarts the loop, and all jobs finish`() =
+        failInAllCases { AssertionError("injected failure") }
 
     @Test
-    fun `so does an exception`() = playAll { IllegalStateException("planted") }
+    fun `an exception in a loop ends the term or restarts the loop, and all jobs finish`() = failInAllCases {
+        IllegalStateException("injected failure")
+    }
 
     @Test
-    fun `a fatal error ends the process, and all jobs go on`() = all { playFatal(it) }
+    fun `a fatal error ends the process, and all jobs finish`() = checkAllCases { checkFatalError(it) }
 
     private companion object {
         val OUTSIDE_TERMS = setOf("campaign", "following", "peers")
--- a/src/test/kotlin/topazvale/RandomFailuresTest.kt
+++ b/src/test/kotlin/topazvale/RandomFailuresTest.kt
@@ -11,60 +11,64 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Whatever fails together: any three kinds of trouble, drawn at random. */
+/** Guards against combinations of failures: three kinds of fault drawn at random, and each kind with a cancellation. */
 class RandomFailuresTest : FailureScenario() {
-    private class Trouble(val name: String, val begin: suspend FakeCluster.(Random) -> Unit)
+    private class Fault(val name: String, val inject: suspend FakeCluster.(Random) -> Unit)
 
-    private val troubles = listOf(
-        Trouble("leader ends") { r ->
+    private val faultKinds = listOf(
+        Fault("leader ends") { r ->
             val former = leader?.also { it.stop() }
             delay(r.nextInt(200, 8000).milliseconds)
             if (former != null && former.name !in nodes) start(former.name)
         },
-        Trouble("leader refused") { r ->
+        Fault("leader refused") { r ->
             leader?.state?.let { state ->
                 state.refusing = true
                 delay(r.nextInt(5, 30).seconds)
                 state.refusing = false
             }
         },
-        Trouble("outage") {
+        Fault("outage") {
             store.outage = true
             delay(it.nextInt(5, 60).seconds)
             store.outage = false
         },
-        Trouble("late writes") { r ->
+        Fault("delayed writes") { r ->
             for (node in nodes.values) repeat(10) { node.state.delayedWrites += r.nextInt(2, 12).seconds }
         },
-        Trouble("slow state") { r -> nodes.values.forEach { it.state.latency = r.nextInt(100, 700).milliseconds } },
-        Trouble("deaf") { r -> some(r).forEach { it.faults.dropsInbound = true } },
-        Trouble("mute") { r -> some(r).forEach { it.faults.dropsReports = true } },
-        Trouble("away") { r -> some(r).forEach { it.faults.canReach = { false } } },
-        Trouble("hung") { r -> some(r).forEach { it.pause(r.nextInt(3, 30).seconds) } },
-        Trouble("gone") { r -> some(r).take(2).forEach { workers.remove(it.host)?.terminate() } },
-        Trouble("copies") { duplicateReportDelay = it.nextInt(2, 25).seconds },
-        Trouble("held reports") { r -> some(r).forEach { it.faults.nextReportDelay = r.nextInt(3, 20).seconds } },
-        Trouble("late commands") { r ->
-            some(r).forEach { it.faults.unansweredCommandDelay = r.nextInt(3, 40).seconds }
+        Fault("slow state service") { r ->
+            nodes.values.forEach { it.state.latency = r.nextInt(100, 700).milliseconds }
         },
-        Trouble("leader with its workers alone") {
+        Fault("workers drop inbound messages") { r -> randomWorkers(r).forEach { it.faults.dropsInbound = true } },
+        Fault("workers drop reports") { r -> randomWorkers(r).forEach { it.faults.dropsReports = true } },
+        Fault("workers cut off") { r -> randomWorkers(r).forEach { it.faults.canReach = { false } } },
+        Fault("workers pause") { r -> randomWorkers(r).forEach { it.pause(r.nextInt(3, 30).seconds) } },
+        Fault("machines lost") { r -> randomWorkers(r).take(2).forEach { workers.remove(it.host)?.terminate() } },
+        Fault("delayed copies of reports") { duplicateReportDelay = it.nextInt(2, 25).seconds },
+        Fault("delayed reports") { r ->
+            randomWorkers(r).forEach { it.faults.nextReportDelay = r.nextInt(3, 20).seconds }
+        },
+        Fault("delayed commands") { r ->
+            randomWorkers(r).forEach { it.faults.unansweredCommandDelay = r.nextInt(3, 40).seconds }
+        },
+        Fault("leader reaches only workers") {
             leader?.let {
                 it.state.hanging = true
                 it.cutFromPeers = true
             }
         },
-        Trouble("all controllers end") { r ->
+        Fault("all controllers end") { r ->
             val names = nodes.keys.toList()
             nodes.values.toList().forEach { it.stop() }
             delay(r.nextInt(1, 20).seconds)
             names.forEach { if (it !in nodes) start(it) }
         },
-        Trouble("cancellations") { r -> repeat(3) { cancel("job-${r.nextInt(1, 9)}") } },
+        Fault("cancellations") { r -> repeat(3) { cancel("job-${r.nextInt(1, 9)}") } },
     )
 
-    private fun FakeCluster.some(random: Random) = workers.values.filter { random.nextInt(3) == 0 }
+    private fun FakeCluster.randomWorkers(random: Random) = workers.values.filter { random.nextInt(3) == 0 }
 
-    private fun FakeCluster.calm() {
+    private fun FakeCluster.removeFaults() {
         store.outage = false
         duplicateReportDelay = null
         for (name in listOf("node-0", "node-1", "node-2")) if (name !in nodes) start(name)
@@ -83,54 +87,54 @@
         }
     }
 
-    /** Whatever meets: no rule breaks, every job is answered for, and none is left waiting once all is over. */
+    /** Under three faults no rule is violated; after them every job has a status again and finishes. */
     @Test
-    fun `any three troubles at once`() {
+    fun `any three faults at once violate no rule and keep no job from finishing`() {
         for (seed in 1..24) {
             val random = Random(seed)
-            val met = List(3) { troubles[random.nextInt(troubles.size)] }
-            val name = "seed $seed: ${met.map { it.name }}"
+            val drawn = List(3) { faultKinds[random.nextInt(faultKinds.size)] }
+            val caseName = "seed $seed: ${drawn.map { it.name }}"
             withCluster {
                 taskTime = { job, index -> if (job.isService) 0.seconds else (6 + (index * 7 + seed) % 20).seconds }
-                val all = (1..5).map { spec.copy(id = "job-$it", tasks = 4 * it) } + listOf(
+                val allJobs = (1..5).map { spec.copy(id = "job-$it", tasks = 4 * it) } + listOf(
                     spec.copy(id = "job-6", oneZone = true, tasks = 8),
                     spec.copy(id = "job-7", spread = true, tasks = 7),
                     Samples.array.copy(id = "job-8", tasks = 14),
                     Samples.service.copy(id = "job-10"),
                 )
                 coroutineScope {
-                    all.forEach { submit(it) }
-                    val begun = met.map { trouble ->
+                    allJobs.forEach { submit(it) }
+                    val injections = drawn.map { fault ->
                         launch {
                             delay(random.nextInt(1, 30_000).milliseconds)
-                            trouble.begin(this@withCluster, random)
+                            fault.inject(this@withCluster, random)
                         }
                     }
                     delay(80.seconds)
-                    begun.forEach { it.cancelAndJoin() }
+                    injections.forEach { it.cancelAndJoin() }
                 }
-                calm()
-                val calmed = clocks.mark()
-                for (job in all - all.last()) {
-                    val left = 75.seconds - calmed.elapsedNow().coerceAtMost(70.seconds)
-                    awaitCondition(left, "$name: ${job.id} is answered for") { poll(job.id) != null }
+                removeFaults()
+                val removedAt = clocks.mark()
+                for (job in allJobs - allJobs.last()) {
+                    val remaining = 75.seconds - removedAt.elapsedNow().coerceAtMost(70.seconds)
+                    awaitCondition(remaining, "$caseName: ${job.id} has a status") { poll(job.id) != null }
                 }
-                for (job in all - all.last()) {
-                    val now = "${poll(job.id)} with ${runningCount(job.id)} running"
-                    awaitCondition(150.seconds, "$name: ${job.id} is over, not $now") {
+                for (job in allJobs - allJobs.last()) {
+                    val current = "${poll(job.id)} with ${runningCount(job.id)} running"
+                    awaitCondition(150.seconds, "$caseName: ${job.id} has finished, not $current") {
                         poll(job.id).let { it == "done" || it == "withdrawn" }
                     }
                 }
-                awaitRunning(all.last().id, 3)
-                assertEquals(emptyList<String>(), violations, name)
+                awaitRunning(allJobs.last().id, 3)
+                assertEquals(emptyList<String>(), violations, caseName)
             }
         }
     }
 
-    /** Each kind of trouble by itself, with a service that is cancelled half a second into it. */
+    /** Each kind of fault by itself; a service is cancelled half a second after the fault begins. */
     @Test
-    fun `a service cancelled during any trouble is gone in time and stays cancelled`() {
-        for ((number, trouble) in troubles.withIndex()) {
+    fun `a service cancelled during any fault stops in time and stays cancelled`() {
+        for ((number, fault) in faultKinds.withIndex()) {
             val random = Random(number)
             withCluster {
                 val service = Samples.service.copy(id = "job-10")
@@ -138,20 +142,22 @@
                 submit(service)
                 awaitRunning(service.id, 3)
                 coroutineScope {
-                    val begun = launch { trouble.begin(this@withCluster, random) }
+                    val injection = launch { fault.inject(this@withCluster, random) }
                     delay(500.milliseconds)
                     while (nodes.isEmpty()) delay(100.milliseconds)
                     val cancelling = launch { cancel(service.id) }
                     delay(80.seconds)
-                    begun.cancelAndJoin()
-                    calm()
+                    injection.cancelAndJoin()
+                    removeFaults()
                     cancelling.join()
                 }
-                awaitCondition(60.seconds, "${trouble.name}: no replica is left") { runningCount(service.id) == 0 }
+                awaitCondition(60.seconds, "${fault.name}: no replica runs") { runningCount(service.id) == 0 }
                 delay(50.seconds)
-                assertEquals(0, runningCount(service.id), trouble.name)
-                awaitCondition(10.seconds, "${trouble.name}: it is cancelled") { poll(service.id) == "withdrawn" }
-                assertEquals(emptyList<String>(), violations, trouble.name)
+                assertEquals(0, runningCount(service.id), fault.name)
+                awaitCondition(10.seconds, "${fault.name}: the service is cancelled") {
+                    poll(service.id) == "withdrawn"
+                }
+                assertEquals(emptyList<String>(), violations, fault.name)
             }
         }
     }
--- a/src/test/kotlin/topazvale/Samples.kt
+++ b/src/test/kotlin/topazvale/Samples.kt
@@ -14,7 +14,7 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.Instant
 
-/** Values that tests vary with `copy`. */
+/** Sample values, which tests adapt with `copy`. */
 object Samples {
     val now = Instant.fromEpochSeconds(1_000_000)
     val plain = MachineType("plain", Resources(16.0, 0.0, 64.0), 50.0, 0.5, 1.0, 0.4, 30.seconds, listOf("a", "b"))
@@ -74,11 +74,11 @@
         deadline: Duration? = null,
         placedByZone: Map<String, Int> = emptyMap(),
     ): WaitingJob {
-        val due = deadline?.let { now + it }
+        val deadlineAt = deadline?.let { now + it }
         return WaitingJob(
             spec,
             now,
-            due,
+            deadlineAt,
             pendingTasks,
             placedByZone,
             hasStarted = false,
--- a/src/test/kotlin/topazvale/ServiceFailuresTest.kt
+++ b/src/test/kotlin/topazvale/ServiceFailuresTest.kt
@@ -9,10 +9,10 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Services and the limits of the state service, while things fail. */
+/** Services and the limits of the state service during failures. */
 class ServiceFailuresTest : FailureScenario() {
     @Test
-    fun `replicas run until cancelled, are back when lost, and lie apart`() = withCluster {
+    fun `replicas run until cancelled, start again when lost, and are spread over zones`() = withCluster {
         val service = Samples.service
         submit(service)
         awaitRunning(service.id, 3)
@@ -22,20 +22,22 @@
         assertEquals(2, hosts.map { it.market.zone }.distinct().size)
         hosts.forEach { it.exitTask("${service.id}/0", "error") }
         hosts.forEach { it.exitTask("${service.id}/1", "done") }
-        awaitCondition(20.seconds, "back") { runningCount(service.id) == 3 }
+        awaitCondition(20.seconds, "the ended replicas run again") { runningCount(service.id) == 3 }
         hosts[1].terminate()
         workers.remove(hosts[1].host)
-        awaitCondition(20.seconds, "one machine is gone, and its lease is over") { runningCount(service.id) == 3 }
-        handOver()
+        awaitCondition(20.seconds, "the replica restarts after the lease of the lost machine ends") {
+            runningCount(service.id) == 3
+        }
+        failOver()
         delay(30.seconds)
         assertEquals(3, runningCount(service.id))
         assertEquals("withdrawn", cancel(service.id))
-        awaitCondition(10.seconds, "gone") { runningCount(service.id) == 0 }
+        awaitCondition(10.seconds, "no replica runs") { runningCount(service.id) == 0 }
         delay(50.seconds)
     }
 
     @Test
-    fun `a service comes while all is full of urgent work, and a lost replica finds room that is kept`() =
+    fun `a new service and a lost replica find reserved capacity while urgent work fills all machines`() =
         withCluster(taskTime = 120.seconds) {
             val service = Samples.service
             submit(service)
@@ -44,14 +46,14 @@
             delay(40.seconds)
             val second = service.copy(id = "job-77", tasks = 4)
             submit(second)
-            awaitCondition(4.seconds, "room was kept") { runningCount(second.id) == 4 }
+            awaitCondition(4.seconds, "the second service starts in reserved capacity") { runningCount(second.id) == 4 }
             val host = workers.values.first { w -> w.runningTasks.any { it.startsWith(service.id) } }
             host.exitTask(host.runningTasks.first { it.startsWith(service.id) }, "error")
-            awaitCondition(4.seconds, "back") { runningCount(service.id) == 3 }
+            awaitCondition(4.seconds, "the lost replica runs again") { runningCount(service.id) == 3 }
         }
 
     @Test
-    fun `a replica that fails again and again rests, and its fellows go on`() = withCluster {
+    fun `a replica that fails repeatedly backs off, and the other replicas keep running`() = withCluster {
         val service = Samples.service
         submit(service)
         awaitRunning(service.id, 3)
@@ -65,7 +67,7 @@
     }
 
     @Test
-    fun `a service is cancelled while its machines hang, the leader changes and reports come late`() = withCluster {
+    fun `a service is cancelled while its machines pause, the leader changes and reports are delayed`() = withCluster {
         val service = Samples.service
         duplicateReportDelay = 9.seconds
         submit(service)
@@ -82,7 +84,7 @@
     }
 
     @Test
-    fun `the state service lowers its limits in the midst of a term and as the leader changes`() =
+    fun `the state service lowers its limits during a term and as the leader changes`() =
         withCluster(taskTime = 15.seconds) {
             submit(Samples.service)
             submit(spec.copy(tasks = 200))
@@ -90,15 +92,15 @@
             store.maxValueBytes = 2048
             store.maxTransactionOps = 8
             submit(spec.copy(id = "job-55", tasks = 200))
-            handOver()
+            failOver()
             awaitDone(spec.id, within = 300.seconds)
             awaitDone("job-55", within = 300.seconds)
             assertEquals(3, runningCount(Samples.service.id))
         }
 
-    /** The settings name the next limits, so that whatever is written before the change keeps within them. */
+    /** The settings announce the next limits, so all that is written before the change already keeps within them. */
     @Test
-    fun `the state service lowers its limits during an outage, and the leader ends in it`() =
+    fun `the state service lowers its limits during an outage in which the leader ends`() =
         withCluster(taskTime = 15.seconds, settingsText = SettingsTest.TEXT + NEXT_LIMITS) {
             val array = spec.copy(tasks = 200)
             submit(Samples.service)
--- a/src/test/kotlin/topazvale/UnreadableRecordsTest.kt
+++ b/src/test/kotlin/topazvale/UnreadableRecordsTest.kt
@@ -10,64 +10,66 @@
 import topazvale.wire.Change
 import kotlin.time.Duration.Companion.seconds
 
-/** Records that a controller cannot read, damaged or of a later version: it goes on, and starts nothing on a guess. */
+/** A controller that cannot read a record, damaged or of a later version, goes on and starts no task on a guess. */
 @OptIn(ExperimentalCoroutinesApi::class)
 class UnreadableRecordsTest {
     private val array = Samples.array.copy(tasks = 6, need = Samples.array.need.copy(gpus = 0.0))
 
     @Test
-    fun `starts that cannot be read keep all others back until their leases must have ended`() = runTest {
-        val world = FakeCluster(this)
-        world.store.commit(emptyList(), listOf(Change.Put("s/9-9", mapOf("starts" to listOf("?")))))
-        world.awaitCondition(30.seconds, "somebody leads") { world.leader != null }
-        world.submit(array)
-        val settings = world.settings.workers
-        // A former leader may have answered reports for its grace, and a lease lasts on from the last answer.
+    fun `an unreadable record of starts delays all new starts until the leases must have ended`() = runTest {
+        val cluster = FakeCluster(this)
+        cluster.store.commit(emptyList(), listOf(Change.Put("s/9-9", mapOf("starts" to listOf("?")))))
+        cluster.awaitCondition(30.seconds, "a controller leads") { cluster.leader != null }
+        cluster.submit(array)
+        val settings = cluster.settings.workers
+        // A former leader may have answered reports during its lease grace period, and a worker's lease runs from the
+        // last response.
         delay(settings.cancelLimit - 8.seconds)
-        assertEquals(0, world.starts)
-        world.awaitDone(array.id)
-        assertEquals(emptyList<String>(), world.violations)
+        assertEquals(0, cluster.starts)
+        cluster.awaitDone(array.id)
+        assertEquals(emptyList<String>(), cluster.violations)
     }
 
     /**
-     * A team is at its limit with a job whose record the next leader cannot read. Its tasks were on no placement until
-     * their workers reported, and on that of no team after that: the team's next job was started beside them.
+     * Guards against a team above its limit. A team is at its limit with a job whose record the next leader cannot
+     * read. No placement of the job's tasks was tracked until their workers reported, and then it counted for no team,
+     * so the leader started the team's next job beside them.
      */
     @Test
-    fun `a job that cannot be read still counts for its team's limit`() {
-        for (machinesDeaf in listOf(false, true)) {
+    fun `an unreadable job still counts towards its team's limit`() {
+        for (droppingInbound in listOf(false, true)) {
             runTest {
-                val world = FakeCluster(this)
-                world.taskTime = { _, _ -> 300.seconds }
-                world.awaitCondition(30.seconds, "somebody leads") { world.leader != null }
+                val cluster = FakeCluster(this)
+                cluster.taskTime = { _, _ -> 300.seconds }
+                cluster.awaitCondition(30.seconds, "a controller leads") { cluster.leader != null }
                 val atLimit = Samples.array.copy(tasks = 8)
-                world.submit(atLimit)
-                world.awaitRunning(atLimit.id, 8)
-                world.submit(atLimit.copy(id = "job-2"))
-                world.store.commit(emptyList(), listOf(Change.Put("j/${atLimit.id}", mapOf("job" to "?"))))
-                world.workers.values.forEach { it.faults.dropsInbound = machinesDeaf }
-                world.leader?.stop()
+                cluster.submit(atLimit)
+                cluster.awaitRunning(atLimit.id, 8)
+                cluster.submit(atLimit.copy(id = "job-2"))
+                cluster.store.commit(emptyList(), listOf(Change.Put("j/${atLimit.id}", mapOf("job" to "?"))))
+                cluster.workers.values.forEach { it.faults.dropsInbound = droppingInbound }
+                cluster.leader?.stop()
                 delay(5.seconds)
-                world.workers.values.forEach { it.faults.dropsInbound = false }
-                world.awaitRunning("job-2", 8, 120.seconds)
-                assertEquals(emptyList<String>(), world.violations, "machines deaf: $machinesDeaf")
+                cluster.workers.values.forEach { it.faults.dropsInbound = false }
+                cluster.awaitRunning("job-2", 8, 120.seconds)
+                assertEquals(emptyList<String>(), cluster.violations, "inbound messages dropped: $droppingInbound")
             }
         }
     }
 
     @Test
-    fun `a job that cannot be read keeps no other from being served`() = runTest {
-        val world = FakeCluster(this)
-        world.awaitCondition(30.seconds, "somebody leads") { world.leader != null }
-        world.store.commit(emptyList(), listOf(Change.Put("j/job-unreadable", mapOf("job" to "?"))))
-        world.submit(array)
-        world.awaitDone(array.id)
-        world.leader?.stop()
+    fun `an unreadable job does not keep other jobs from running`() = runTest {
+        val cluster = FakeCluster(this)
+        cluster.awaitCondition(30.seconds, "a controller leads") { cluster.leader != null }
+        cluster.store.commit(emptyList(), listOf(Change.Put("j/job-unreadable", mapOf("job" to "?"))))
+        cluster.submit(array)
+        cluster.awaitDone(array.id)
+        cluster.leader?.stop()
         delay(10.seconds)
         val second = array.copy(id = "job-2")
-        world.submit(second)
-        world.awaitDone(second.id)
-        assertTrue("j/job-unreadable" in world.store.values.keys)
-        assertEquals(emptyList<String>(), world.violations)
+        cluster.submit(second)
+        cluster.awaitDone(second.id)
+        assertTrue("j/job-unreadable" in cluster.store.values.keys)
+        assertEquals(emptyList<String>(), cluster.violations)
     }
 }
--- a/src/test/kotlin/topazvale/WorkerFailuresTest.kt
+++ b/src/test/kotlin/topazvale/WorkerFailuresTest.kt
@@ -6,53 +6,54 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Workers that are hard to reach, and messages that come late. */
+/** Workers that are hard to reach, and delayed messages. */
 class WorkerFailuresTest : FailureScenario() {
     @Test
-    fun `workers that can open no connection are reached by direct commands, over a change of leader`() =
+    fun `direct commands reach workers that can open no connection, also over a change of leader`() =
         withCluster(taskTime = 40.seconds) {
             submit(spec.copy(tasks = 20))
             awaitRunning(spec.id, 20)
-            val muted = workers.values.take(4)
-            muted.forEach { it.faults.dropsReports = true }
-            handOver()
+            val droppingReports = workers.values.take(4)
+            droppingReports.forEach { it.faults.dropsReports = true }
+            failOver()
             delay(40.seconds)
-            muted.forEach { it.faults.dropsReports = false }
+            droppingReports.forEach { it.faults.dropsReports = false }
             awaitDone(spec.id)
         }
 
     @Test
-    fun `old reports arrive after newer ones, from earlier sessions and attempts too`() =
+    fun `old reports arrive after newer ones, also from earlier sessions and attempts`() =
         withCluster(taskTime = 8.seconds) {
-            for (wait in listOf(3.seconds, 20.seconds)) {
-                duplicateReportDelay = wait
-                val job = spec.copy(id = "job-7${wait.inWholeSeconds}", tasks = 30)
+            for (copyDelay in listOf(3.seconds, 20.seconds)) {
+                duplicateReportDelay = copyDelay
+                val job = spec.copy(id = "job-7${copyDelay.inWholeSeconds}", tasks = 30)
                 submit(job)
                 awaitRunning(job.id, 5)
                 workers.values.first().faults.canReach = { false }
                 delay(18.seconds)
                 workers.values.first().faults.canReach = { true }
-                handOver()
+                failOver()
                 awaitDone(job.id)
             }
         }
 
     @Test
-    fun `more work than room, urgent and not, over slow links`() = withCluster(taskTime = 15.seconds) {
-        capacity = 8
-        nodes.values.forEach { it.state.latency = 250.milliseconds }
-        val jobs = (1..10).map { i ->
-            spec.copy(id = "job-1$i", tasks = 12, rank = if (i % 2 == 0) Rank.URGENT else Rank.NORMAL)
+    fun `more work than capacity, urgent and normal, while the state service is slow`() =
+        withCluster(taskTime = 15.seconds) {
+            capacity = 8
+            nodes.values.forEach { it.state.latency = 250.milliseconds }
+            val jobs = (1..10).map { i ->
+                spec.copy(id = "job-1$i", tasks = 12, rank = if (i % 2 == 0) Rank.URGENT else Rank.NORMAL)
+            }
+            jobs.forEach { submit(it) }
+            delay(20.seconds)
+            cancel(jobs[3].id)
+            failOver()
+            (jobs - jobs[3]).forEach { awaitDone(it.id, within = 400.seconds) }
         }
-        jobs.forEach { submit(it) }
-        delay(20.seconds)
-        cancel(jobs[3].id)
-        handOver()
-        (jobs - jobs[3]).forEach { awaitDone(it.id, within = 400.seconds) }
-    }
 
     @Test
-    fun `a command is held up for seconds, and the machine then goes on`() = withCluster(taskTime = 12.seconds) {
+    fun `commands are delayed for seconds, and machines pause and resume`() = withCluster(taskTime = 12.seconds) {
         val jobs = (1..5).map { spec.copy(id = "job-2$it", tasks = 10) }
         submit(jobs[0])
         awaitRunning(jobs[0].id, 4)
@@ -61,7 +62,7 @@
         delay(8.seconds)
         workers.values.forEachIndexed { i, w -> if (i % 3 == 0) w.pause((2 + i % 11).seconds) }
         cancel(jobs[1].id)
-        handOver()
+        failOver()
         delay(20.seconds)
         workers.values.forEach { it.faults.unansweredCommandDelay = null }
         (jobs - jobs[1]).forEach { awaitDone(it.id) }
