--- a/src/test/kotlin/topazvale/emulator/ControllerPort.kt
+++ b/src/test/kotlin/topazvale/emulator/ControllerPort.kt
@@ -2,7 +2,7 @@
 
 import topazvale.api.ApiResponse
 
-/** A controller as users and workers reach it, in this process or over HTTP; null: no answer came. */
+/** A controller's API for users and workers, in this process or over HTTP. A call without a response returns null. */
 interface ControllerPort {
     /** `POST /agent/beat`. */
     suspend fun report(body: ByteArray): ApiResponse?
--- a/src/test/kotlin/topazvale/emulator/ProtocolObserver.kt
+++ b/src/test/kotlin/topazvale/emulator/ProtocolObserver.kt
@@ -11,180 +11,190 @@
 import kotlin.time.ComparableTimeMark
 import kotlin.time.Duration
 
-/** A rule of the protocol that was broken, as seen from outside. */
-data class Violation(val rule: String, val what: String, val at: Duration) {
-    override fun toString() = "$rule: $what at $at"
+/** A violation of a protocol rule, as observed from outside the controllers; [at] counts from the observer's start. */
+data class Violation(val rule: String, val details: String, val at: Duration) {
+    override fun toString() = "$rule: $details at $at"
 }
 
 /**
- * Judges the protocol's rules by what workers ran and users were told alone, at the moment at which each thing happens.
- * Used from one thread.
+ * Checks the protocol's rules at the moment of each event. It relies only on what workers run and on the responses that
+ * users receive. Not thread-safe: all calls come from one thread.
  */
 class ProtocolObserver(private val settings: Settings, private val clocks: Clocks) {
-    private class Told(val status: String, val since: ComparableTimeMark)
+    private class FinalStatus(val status: String, val since: ComparableTimeMark)
 
-    private val began = clocks.mark()
+    private val startedAt = clocks.mark()
     private val cancelLimit = settings.workers.cancelLimit
 
-    /** For how long after its job was told to be done a task may still begin: a command may have been on its way. */
+    /** For how long a task may begin after a user was notified that its job is done: commands may be in transit. */
     var maxCommandDelay: Duration = cancelLimit
 
     /** The jobs whose descriptions users have uploaded. */
     val jobs = HashMap<String, JobSpec>()
 
-    /** The broken rules, in the order in which they broke. */
+    /** The violations in the order of their detection. */
     val violations = ArrayList<Violation>()
 
-    /** Brings what is on machines up to date before it is judged; a busy process may be late with it. */
+    /** Updates the tasks on machines before a check, since a busy process may apply lease expiry late. */
     var refresh: () -> Unit = {}
 
-    /** How many tasks have been started on a machine. */
+    /** The number of task starts on machines. */
     var starts = 0
         private set
 
-    /** Tasks that workers have begun after a user was told that their job is done. */
+    /** Descriptions of the attempts that workers began after a user was notified that the job is done. */
     val attemptsAfterDone = ArrayList<String>()
     private val results = HashSet<String>()
-    private val told = HashMap<String, Told>()
-    private val places = HashMap<String, MutableList<Place>>()
+    private val finalStatuses = HashMap<String, FinalStatus>()
+    private val placements = HashMap<String, MutableList<Placement>>()
 
-    private class Place(val host: String, val market: Market)
+    private class Placement(val host: String, val market: Market)
 
-    /** The tasks that are on a machine. */
-    val running: Set<String> get() = places.keys.toSet()
+    /** The tasks that run on a machine. */
+    val running: Set<String> get() = placements.keys.toSet()
 
-    /** How many tasks of the job are on a machine. */
-    fun runningCount(id: String) = places.keys.count { it.startsWith("$id/") }
+    /** The number of the job's tasks that run on a machine. */
+    fun runningCount(id: String) = placements.keys.count { it.startsWith("$id/") }
 
-    /** Whether the task has completed somewhere: its result is kept. */
+    /** Whether the task has completed on any machine and so has a stored result. */
     fun hasResult(task: String) = task in results
 
-    /** The task has completed. */
+    /** Records that the task has completed. */
     fun recordCompletion(task: String) {
         results += task
     }
 
-    /** All tasks of the job but the last one have completed, and nobody was told that it is over. */
+    /** Whether at most one task of the job has yet to complete and no user has received a final status for the job. */
     fun isAboutToFinish(spec: JobSpec) =
         !isFinished(spec.id) && (0 until spec.tasks).count { "${spec.id}/$it" !in results } <= 1
 
-    /** The job is called done or cancelled. */
-    fun isFinished(id: String) = told[id]?.status in FINAL
+    /** Whether a user was notified that the job is done or cancelled. */
+    fun isFinished(id: String) = finalStatuses[id]?.status in FINAL_STATUSES
 
     /**
-     * A worker begins a task, be it only to end it at once by the result that it has kept. Not one of the protocol's
-     * rules, but no command is held up for as long as a cancellation may take, and nothing else begins work that is done.
+     * Records that a worker begins a task, even if the task ends at once because its result is stored. An attempt after
+     * the end of the job breaks no rule of the protocol by itself. After [maxCommandDelay] it is a violation: no
+     * command is delayed for as long as a cancellation may take, and only a delayed command begins work that is done.
      */
     fun recordAttempt(host: String, task: String) {
-        val done = told[jobOf(task)]?.takeIf { it.status == DONE } ?: return
+        val done = finalStatuses[jobOf(task)]?.takeIf { it.status == DONE } ?: return
         val since = done.since.elapsedNow()
-        val what = "$task begins on $host $since after its job was done"
-        attemptsAfterDone += what
-        if (since > maxCommandDelay) broken("ran_after_end", what)
+        val details = "$task begins on $host $since after its job was done"
+        attemptsAfterDone += details
+        if (since > maxCommandDelay) recordViolation("ran_after_end", details)
     }
 
-    /** A task is on a machine from now on. */
+    /** Records that a task runs on a machine from now on. */
     fun recordStart(host: String, market: Market, task: String, spec: JobSpec) {
         starts++
         refresh()
-        val on = places.getOrPut(task) { ArrayList() }
-        if (on.isNotEmpty()) broken("ran_twice", "$task on $host while on ${on.map { it.host }}")
-        on += Place(host, market)
-        checkPlace(market, task, spec)
-        val cancelledFor = cancelledFor(spec.id)
-        if (cancelledFor != null && cancelledFor > cancelLimit) {
-            broken("ran_cancelled", "$task starts $cancelledFor after its cancellation")
+        val current = placements.getOrPut(task) { ArrayList() }
+        if (current.isNotEmpty()) recordViolation("ran_twice", "$task on $host while on ${current.map { it.host }}")
+        current += Placement(host, market)
+        checkPlacement(market, task, spec)
+        val sinceCancellation = timeSinceCancellation(spec.id)
+        if (sinceCancellation != null && sinceCancellation > cancelLimit) {
+            recordViolation("ran_cancelled", "$task starts $sinceCancellation after its cancellation")
         }
         checkLimits(spec.team)
     }
 
-    /** A task is on the machine no more. */
+    /** Records that a task no longer runs on the machine. */
     fun recordStop(host: String, task: String) {
-        val on = places[task] ?: return
-        val place = on.firstOrNull { it.host == host } ?: return
-        on -= place
-        if (on.isEmpty()) places -= task
+        val current = placements[task] ?: return
+        val placement = current.firstOrNull { it.host == host } ?: return
+        current -= placement
+        if (current.isEmpty()) placements -= task
     }
 
-    /** To be called regularly: cancelled tasks have to be gone in time. */
+    /** Checks that cancelled tasks stop in time; to be called periodically. */
     fun checkCancellations() {
-        for (task in places.keys) {
-            val since = cancelledFor(jobOf(task)) ?: continue
-            if (since > cancelLimit) broken("ran_cancelled", "$task is there $since after its cancellation")
+        for (task in placements.keys) {
+            val since = timeSinceCancellation(jobOf(task)) ?: continue
+            if (since > cancelLimit) recordViolation("ran_cancelled", "$task still runs $since after its cancellation")
         }
     }
 
     /**
-     * A user got an answer about a job that was accepted before, to a request sent at [asked]; the status it tells, if
-     * any. An answer may be older than another that came first, if it was asked for before that.
+     * Records the response that a user received about an accepted job, to a request sent at [sentAt]. Returns the job's
+     * status in the response, if any. A response may be out of order: a status that is not final is allowed after a
+     * final one if its request was sent before the final status arrived.
      */
-    fun recordResponse(id: String, answer: ApiResponse, asked: ComparableTimeMark): String? {
-        val status = if (answer.status in ACCEPTED) Cbor.decodeMap(answer.body)["status"] as String else null
-        val known = told[id]
-        val before = known?.status
-        val older = known != null && asked < known.since && status !in FINAL
-        if (answer.status in REFUSED && id in jobs) broken("forgotten", "$id gets ${answer.status}")
-        if (status != null && before in FINAL && status != before &&
-            !older
+    fun recordResponse(id: String, response: ApiResponse, sentAt: ComparableTimeMark): String? {
+        val status = if (response.status in ACCEPTED_CODES) Cbor.decodeMap(response.body)["status"] as String else null
+        val known = finalStatuses[id]
+        val previousStatus = known?.status
+        val outOfOrder = known != null && sentAt < known.since && status !in FINAL_STATUSES
+        if (response.status in REJECTED_CODES && id in jobs) recordViolation("forgotten", "$id gets ${response.status}")
+        if (status != null && previousStatus in FINAL_STATUSES && status != previousStatus &&
+            !outOfOrder
         ) {
-            broken("went_back", "$id is $status after $before")
+            recordViolation("went_back", "$id is $status after $previousStatus")
+        }
+        if (status == DONE && !isComplete(id)) recordViolation("not_done", id)
+        if (status != null && status in FINAL_STATUSES && previousStatus !in FINAL_STATUSES) {
+            finalStatuses[id] = FinalStatus(status, clocks.mark())
         }
-        if (status == DONE && !isComplete(id)) broken("not_done", id)
-        if (status != null && status in FINAL && before !in FINAL) told[id] = Told(status, clocks.mark())
         return status
     }
 
-    private fun checkPlace(market: Market, task: String, spec: JobSpec) {
-        val zones = places.filterKeys { jobOf(it) == spec.id }.values.flatten().map { it.market.zone }
+    private fun checkPlacement(market: Market, task: String, spec: JobSpec) {
+        val zones = placements.filterKeys { jobOf(it) == spec.id }.values.flatten().map { it.market.zone }
         val excluded = (spec.zone != null && spec.zone != market.zone) || spec.types?.contains(market.type) == false
-        if (excluded || (market.spot && !spec.spotAllowed)) broken("wrong_place", "$task on $market")
-        if (spec.oneZone && zones.any { it != market.zone }) broken("wrong_place", "$task in ${market.zone} of $zones")
-        if (zones.count { it == market.zone } > spec.zoneLimit) broken("wrong_place", "$task crowds ${market.zone}")
+        if (excluded || (market.spot && !spec.spotAllowed)) recordViolation("wrong_place", "$task on $market")
+        if (spec.oneZone && zones.any { it != market.zone }) {
+            recordViolation("wrong_place", "$task in ${market.zone} while its job runs in $zones")
+        }
+        if (zones.count { it == market.zone } > spec.zoneLimit) {
+            recordViolation("wrong_place", "$task exceeds the limit of its job in ${market.zone}")
+        }
     }
 
-    /** Whether the job's team may have one more of its tasks run. */
+    /** Whether one more task of the job would keep its team within the limit. */
     fun isUnderLimit(spec: JobSpec): Boolean = !exceedsLimit(spec.team, usage(spec.team) + spec.need)
 
     private fun checkLimits(team: String) {
         val used = usage(team)
-        if (exceedsLimit(team, used)) broken("quota", "$team uses ${used.cpus} CPUs and ${used.gpus} GPUs")
+        if (exceedsLimit(team, used)) recordViolation("quota", "$team uses ${used.cpus} CPUs and ${used.gpus} GPUs")
     }
 
     private fun usage(team: String): Resources {
         var used = Resources.NONE
-        for ((task, on) in places) {
+        for ((task, current) in placements) {
             val spec = jobs.getValue(jobOf(task))
-            if (spec.team == team) used += spec.need * on.size
+            if (spec.team == team) used += spec.need * current.size
         }
         return used
     }
 
     private fun exceedsLimit(name: String, used: Resources): Boolean {
         val team = settings.teams.getValue(name)
-        val overCpus = used.cpus > (team.limitCpus ?: Double.MAX_VALUE) + ROUNDING
-        val overGpus = used.gpus > (team.limitGpus ?: Double.MAX_VALUE) + ROUNDING
+        val overCpus = used.cpus > (team.limitCpus ?: Double.MAX_VALUE) + ROUNDING_TOLERANCE
+        val overGpus = used.gpus > (team.limitGpus ?: Double.MAX_VALUE) + ROUNDING_TOLERANCE
         return overCpus || overGpus
     }
 
     private fun isComplete(id: String) = (0 until jobs.getValue(id).tasks).all { "$id/$it" in results }
 
-    private fun cancelledFor(id: String): Duration? = told[id]?.takeIf { it.status == CANCELLED }?.since?.elapsedNow()
+    private fun timeSinceCancellation(id: String): Duration? =
+        finalStatuses[id]?.takeIf { it.status == CANCELLED }?.since?.elapsedNow()
 
     private fun jobOf(task: String) = task.substringBeforeLast('/')
 
-    private fun broken(rule: String, what: String) {
-        val known = violations.any { it.rule == rule && it.what.substringBefore(' ') == what.substringBefore(' ') }
-        // A cancelled task that stays would be named again at each check.
+    private fun recordViolation(rule: String, details: String) {
+        val known =
+            violations.any { it.rule == rule && it.details.substringBefore(' ') == details.substringBefore(' ') }
+        // A cancelled task that stays would be reported again at each check.
         if (rule == "ran_cancelled" && known) return
-        violations += Violation(rule, what, began.elapsedNow())
+        violations += Violation(rule, details, startedAt.elapsedNow())
     }
 
     private companion object {
         const val CANCELLED = "withdrawn"
         const val DONE = "done"
-        const val ROUNDING = 1e-6
-        val FINAL = setOf(DONE, CANCELLED)
-        val ACCEPTED = HttpStatus.OK..HttpStatus.CREATED
-        val REFUSED = setOf(HttpStatus.BAD_REQUEST, HttpStatus.NOT_FOUND, 422)
+        const val ROUNDING_TOLERANCE = 1e-6
+        val FINAL_STATUSES = setOf(DONE, CANCELLED)
+        val ACCEPTED_CODES = HttpStatus.OK..HttpStatus.CREATED
+        val REJECTED_CODES = setOf(HttpStatus.BAD_REQUEST, HttpStatus.NOT_FOUND, 422)
     }
 }
--- a/src/test/kotlin/topazvale/emulator/ProtocolObserverTest.kt
+++ b/src/test/kotlin/topazvale/emulator/ProtocolObserverTest.kt
@@ -13,7 +13,7 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.TestTimeSource
 
-/** What judges others is tried with planted violations. */
+/** Injects violations to verify that the observer reports each of them, and nothing that the protocol allows. */
 class ProtocolObserverTest {
     private val time = TestTimeSource()
     private val clocks = Clocks(time, Clock.System)
@@ -26,11 +26,11 @@
     private fun ProtocolObserver.start(host: String, market: Market, spec: JobSpec, index: Int) =
         recordStart(host, market, "${spec.id}/$index", spec)
 
-    private fun tell(status: String, code: Int = 200, asked: kotlin.time.ComparableTimeMark = clocks.mark()) =
-        observer.recordResponse("job-1", ApiResponse.of(code, mapOf("uid" to "job-1", "status" to status)), asked)
+    private fun recordStatus(status: String, code: Int = 200, sentAt: kotlin.time.ComparableTimeMark = clocks.mark()) =
+        observer.recordResponse("job-1", ApiResponse.of(code, mapOf("uid" to "job-1", "status" to status)), sentAt)
 
     @Test
-    fun `each planted violation is found, and what is allowed is not`() {
+    fun `each injected violation is reported and allowed behaviour is not`() {
         val array = Samples.array.copy(need = Samples.array.need.copy(gpus = 0.0))
         val cases = listOf<Pair<String?, () -> Unit>>(
             null to {
@@ -65,41 +65,41 @@
             },
             "ran_cancelled" to {
                 observer.start("n-1", inA, job(array), 0)
-                tell("withdrawn")
+                recordStatus("withdrawn")
                 time += 45.seconds
                 observer.checkCancellations()
             },
             "ran_cancelled" to {
                 val spec = job(array)
-                tell("withdrawn")
+                recordStatus("withdrawn")
                 time += 45.seconds
                 observer.start("n-1", inA, spec, 0)
             },
             "forgotten" to {
                 job(array)
-                tell("", code = 404)
+                recordStatus("", code = 404)
             },
             "went_back" to {
                 job(array)
-                tell("withdrawn")
+                recordStatus("withdrawn")
                 time += 1.seconds
-                tell("running")
+                recordStatus("running")
             },
             null to {
                 job(array)
-                val asked = clocks.mark()
+                val sentAt = clocks.mark()
                 time += 1.seconds
-                tell("withdrawn")
-                tell("running", asked = asked)
+                recordStatus("withdrawn")
+                recordStatus("running", sentAt = sentAt)
             },
             "not_done" to {
                 job(array)
-                tell("done")
+                recordStatus("done")
             },
         )
-        cases.forEachIndexed { number, (rule, plant) ->
+        cases.forEachIndexed { number, (rule, inject) ->
             observer = ProtocolObserver(Settings.parse(SettingsTest.TEXT), clocks)
-            plant()
+            inject()
             assertEquals(listOfNotNull(rule), observer.violations.map { it.rule }.distinct(), "case $number")
         }
     }
--- a/src/test/kotlin/topazvale/emulator/UserEmulator.kt
+++ b/src/test/kotlin/topazvale/emulator/UserEmulator.kt
@@ -9,65 +9,69 @@
 import topazvale.wire.JobWire
 import kotlin.time.Duration.Companion.seconds
 
-/** Users by the protocol: they ask again until they get an answer that settles the matter, and note what they are told. */
+/**
+ * Emulates the users of the protocol. They repeat a request until they receive a conclusive response, and pass each
+ * response to the observer.
+ */
 class UserEmulator(
     private val observer: ProtocolObserver,
     private val clocks: Clocks,
     private val anyController: suspend () -> ControllerPort,
 ) {
-    /** Submits the job through [via], or whatever takes it; the status that settled it. */
+    /** Submits the job through [via], or through any controller if null; returns the conclusive status code. */
     suspend fun submit(spec: JobSpec, via: ControllerPort? = null): Int {
         while (true) {
             // Users upload the description before they submit.
             observer.jobs.getOrPut(spec.id) { spec }
             val controller = via ?: anyController()
-            val asked = clocks.mark()
-            val answer = controller.submit(Cbor.encode(JobWire.encodeSpec(spec)))
-            if (answer != null && answer.status < HttpStatus.TOO_MANY_REQUESTS) {
-                if (answer.status <=
+            val sentAt = clocks.mark()
+            val response = controller.submit(Cbor.encode(JobWire.encodeSpec(spec)))
+            if (response != null && response.status < HttpStatus.TOO_MANY_REQUESTS) {
+                if (response.status <=
                     HttpStatus.CREATED
                 ) {
-                    observer.recordResponse(spec.id, answer, asked)
+                    observer.recordResponse(spec.id, response, sentAt)
                 } else {
                     observer.jobs.remove(spec.id)
                 }
-                return answer.status
+                return response.status
             }
-            delay(RETRY)
+            delay(RETRY_INTERVAL)
         }
     }
 
-    /** Asks once; the status told, or null without an answer that tells one. */
-    suspend fun poll(id: String, via: ControllerPort? = null): String? = ask(id, via ?: anyController()) { poll(id) }
+    /** Requests the job's status once; null if no conclusive response came. */
+    suspend fun poll(id: String, via: ControllerPort? = null): String? =
+        request(id, via ?: anyController()) { poll(id) }
 
-    /** Asks once to cancel the job; null without an answer that settles it. */
-    suspend fun tryCancel(id: String, via: ControllerPort): String? = ask(id, via) { cancel(id) }
+    /** Requests the cancellation once and returns the job's status; null if no conclusive response came. */
+    suspend fun tryCancel(id: String, via: ControllerPort): String? = request(id, via) { cancel(id) }
 
-    /** Cancels the job through [via], or whatever takes it; the status told. */
+    /** Cancels the job through [via], or through any controller if null; returns the job's status. */
     suspend fun cancel(id: String, via: ControllerPort? = null): String {
         while (true) {
             tryCancel(id, via ?: anyController())?.let { return it }
-            delay(RETRY)
+            delay(RETRY_INTERVAL)
         }
     }
 
-    private suspend fun ask(
+    private suspend fun request(
         id: String,
-        of: ControllerPort,
-        question: suspend ControllerPort.() -> ApiResponse?,
+        controller: ControllerPort,
+        call: suspend ControllerPort.() -> ApiResponse?,
     ): String? {
-        val asked = clocks.mark()
-        val answer = of.question()
-        return if (answer == null ||
-            answer.status >= HttpStatus.TOO_MANY_REQUESTS
+        val sentAt = clocks.mark()
+        val response = controller.call()
+        return if (response == null ||
+            response.status >= HttpStatus.TOO_MANY_REQUESTS
         ) {
             null
         } else {
-            observer.recordResponse(id, answer, asked)
+            observer.recordResponse(id, response, sentAt)
         }
     }
 
     private companion object {
-        val RETRY = 1.seconds
+        val RETRY_INTERVAL = 1.seconds
     }
 }
--- a/src/test/kotlin/topazvale/emulator/WorkerCommands.kt
+++ b/src/test/kotlin/topazvale/emulator/WorkerCommands.kt
@@ -5,12 +5,12 @@
 import topazvale.wire.JobWire
 import kotlin.time.Duration
 
-/** The answer to a direct command: its status, and the worker's report. */
-class DirectAnswer(val status: Int, val report: ByteArray)
+/** The response to a direct command: its HTTP status and the worker's report. */
+class DirectCommandResponse(val status: Int, val report: ByteArray)
 
-/** Orders as workers read them. */
+/** Decodes the orders that workers receive. */
 object Orders {
-    /** One order of an answer or of a direct command. */
+    /** Decodes one order of a report's response or of a direct command. */
     fun decode(value: Any?): Order {
         val map = value as Map<*, *>
         val start = Start(JobWire.parseTaskId(map["step"] as String)!!, map["try"] as Long)
--- a/src/test/kotlin/topazvale/emulator/WorkerEmulator.kt
+++ b/src/test/kotlin/topazvale/emulator/WorkerEmulator.kt
@@ -19,98 +19,98 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * A worker by the protocol: its lease, its sessions, tokens, and the one report that it has in flight.
+ * Emulates a worker of the protocol: its lease, sessions and tokens, and the single report that it has in flight.
  *
- * [clockRate]: how fast its steady clock runs; the protocol allows 0.05% either way.
+ * [clockRate] is the rate of its monotonic clock; the protocol allows a deviation of 0.05% in either direction.
  */
 class WorkerEmulator(
     val host: String,
     val endpoint: String,
     val market: Market,
-    private val world: WorkerEnvironment,
+    private val environment: WorkerEnvironment,
     private val scope: CoroutineScope,
     private val clockRate: Double = 1.0,
 ) {
-    private class Task(val attempt: Long, val onFrom: ComparableTimeMark?, val ends: ComparableTimeMark?) {
-        var status = if (onFrom == null) "exited" else "pulling"
+    private class Task(val attempt: Long, val runsFrom: ComparableTimeMark?, val endsAt: ComparableTimeMark?) {
+        var status = if (runsFrom == null) "exited" else "pulling"
         var cause: String? = null
-        val isOn get() = status == "running"
-        val isThere get() = status != "exited"
+        val isRunning get() = status == "running"
+        val isLive get() = status != "exited"
     }
 
-    private class Key(val task: String, val attempt: Long) {
-        override fun equals(other: Any?) = other is Key && other.task == task && other.attempt == attempt
+    private class AttemptKey(val task: String, val attempt: Long) {
+        override fun equals(other: Any?) = other is AttemptKey && other.task == task && other.attempt == attempt
 
         override fun hashCode() = task.hashCode() + attempt.hashCode()
     }
 
-    private val clocks = world.clocks
-    private val observer = world.observer
-    private val lease = world.limits.lease / clockRate
-    private val reportInterval = world.limits.reportInterval / clockRate
-    private val answerLimit = ANSWER_LIMIT / clockRate
+    private val clocks = environment.clocks
+    private val observer = environment.observer
+    private val lease = environment.limits.lease / clockRate
+    private val reportInterval = environment.limits.reportInterval / clockRate
+    private val responseTimeout = RESPONSE_TIMEOUT / clockRate
 
-    /** When its machine was rented. */
+    /** The time at which the machine was rented. */
     val rentedAt: ComparableTimeMark = clocks.mark()
 
-    /** What goes wrong with its messages. */
+    /** The faults of its messages. */
     val faults = WorkerFaults()
-    private val tasks = LinkedHashMap<Key, Task>()
+    private val tasks = LinkedHashMap<AttemptKey, Task>()
     private var alive = true
     private var token = 0L
     private var session = 1L
     private var sequence = 0L
-    private var leaseFrom: ComparableTimeMark = clocks.mark()
-    private var at = 0
-    private var delayedByHang = ArrayList<() -> Unit>()
-    private var changed = false
-    private var hangsUntil: ComparableTimeMark? = null
-    private val hangs get() = hangsUntil?.hasNotPassedNow() == true
+    private var leaseRenewedAt: ComparableTimeMark = clocks.mark()
+    private var controllerIndex = 0
+    private var commandsWhilePaused = ArrayList<() -> Unit>()
+    private var changedSinceReport = false
+    private var pausedUntil: ComparableTimeMark? = null
+    private val isPaused get() = pausedUntil?.hasNotPassedNow() == true
 
-    /** The tasks that are on the machine. */
-    val runningTasks: List<String> get() = tasks.filterValues { it.isOn }.keys.map { it.task }
+    /** The tasks that run on the machine. */
+    val runningTasks: List<String> get() = tasks.filterValues { it.isRunning }.keys.map { it.task }
 
-    /** Begins to report and to live. */
+    /** Starts the loops that send reports and run tasks. */
     fun start() {
-        scope.launch { reporting() }
-        scope.launch { living() }
+        scope.launch { reportLoop() }
+        scope.launch { runTasks() }
     }
 
-    /** Stands still for that long. */
+    /** Pauses the process for [span]. */
     fun pause(span: Duration) {
-        hangsUntil = clocks.mark() + span
+        pausedUntil = clocks.mark() + span
     }
 
-    /** The machine is gone, and all that was on it. */
+    /** Ends the machine and everything that runs on it. */
     fun terminate() {
         alive = false
-        for ((key, task) in tasks) if (task.isOn) observer.recordStop(host, key.task)
+        for ((key, task) in tasks) if (task.isRunning) observer.recordStop(host, key.task)
         tasks.clear()
     }
 
-    /** The task ends by itself. */
-    fun exitTask(task: String, cause: String) {
-        for ((key, t) in tasks) if (key.task == task && t.isThere) exit(key, t, cause)
+    /** Makes the task exit with [cause], as it does without an order. */
+    fun exitTask(id: String, cause: String) {
+        for ((key, task) in tasks) if (key.task == id && task.isLive) markExited(key, task, cause)
     }
 
-    private suspend fun living() {
+    private suspend fun runTasks() {
         while (alive) {
             delay(TICK)
-            // A machine that stands still may go on within its lease, and not after it.
+            // A paused machine may resume its tasks within its lease, but not after the lease has expired.
             expireLeaseIfDue()
-            if (hangs) continue
-            delayedByHang.toList().also { delayedByHang.clear() }.forEach { it() }
+            if (isPaused) continue
+            commandsWhilePaused.toList().also { commandsWhilePaused.clear() }.forEach { it() }
             for ((key, task) in tasks.entries.map { it.key to it.value }) if (tasks[key] === task) advance(key, task)
         }
     }
 
-    private fun advance(key: Key, task: Task) {
-        if (task.status == "pulling" && task.onFrom?.hasPassedNow() == true) begin(key, task)
-        if (task.isOn && task.ends?.hasPassedNow() == true) exit(key, task, "done")
+    private fun advance(key: AttemptKey, task: Task) {
+        if (task.status == "pulling" && task.runsFrom?.hasPassedNow() == true) beginTask(key, task)
+        if (task.isRunning && task.endsAt?.hasPassedNow() == true) markExited(key, task, "done")
     }
 
-    private fun begin(key: Key, task: Task) {
-        changed = true
+    private fun beginTask(key: AttemptKey, task: Task) {
+        changedSinceReport = true
         val spec = observer.jobs.getValue(JobWire.parseTaskId(key.task)!!.job)
         observer.recordAttempt(host, key.task)
         if (observer.hasResult(key.task) && !spec.isService) {
@@ -119,202 +119,215 @@
             return
         }
         task.status = "running"
-        world.recordEvent(host, "${key.task} attempt ${key.attempt} is on")
+        environment.recordEvent(host, "${key.task} attempt ${key.attempt} runs")
         observer.recordStart(host, market, key.task, spec)
     }
 
-    /** Ends the session if its lease is over; called by those who judge what runs, as a busy process may be late. */
+    /**
+     * Ends the session if its lease has expired. Checks of what runs call this first, as a busy process may expire the
+     * lease late.
+     */
     fun expireLeaseIfDue() {
-        if (alive && leaseFrom.elapsedNow() > lease) lapse()
+        if (alive && leaseRenewedAt.elapsedNow() > lease) expireLease()
     }
 
-    private fun lapse() {
+    private fun expireLease() {
         for ((key, task) in tasks) {
-            if (task.isThere) world.recordEvent(host, "${key.task} attempt ${key.attempt} is killed, the lease is over")
+            if (task.isLive) {
+                environment.recordEvent(host, "${key.task} attempt ${key.attempt} is killed: the lease has expired")
+            }
         }
-        for ((key, task) in tasks) if (task.isOn) observer.recordStop(host, key.task)
+        for ((key, task) in tasks) if (task.isRunning) observer.recordStop(host, key.task)
         tasks.clear()
         session++
-        leaseFrom = clocks.mark()
-        changed = true
+        leaseRenewedAt = clocks.mark()
+        changedSinceReport = true
     }
 
-    private fun report(): ByteArray = Cbor.encode(
+    private fun encodeReport(): ByteArray = Cbor.encode(
         mapOf(
             "host" to host, "endpoint" to endpoint, "flavor" to market.type, "hall" to market.zone,
             "standby" to market.spot,
             "shift" to session, "tick" to ++sequence, "epoch" to token,
-            "steps" to tasks.map { (key, t) ->
-                mapOf("step" to key.task, "try" to t.attempt, "status" to t.status, "cause" to t.cause)
+            "steps" to tasks.map { (key, task) ->
+                mapOf("step" to key.task, "try" to task.attempt, "status" to task.status, "cause" to task.cause)
             },
         ),
     )
 
-    private fun execute(from: Long, orders: List<Order>) {
-        if (from > token) changed = true
-        token = from
+    private fun executeOrders(commandToken: Long, orders: List<Order>) {
+        if (commandToken > token) changedSinceReport = true
+        token = commandToken
         for (order in orders) {
-            world.recordEvent(host, "told $order under token $from in session $session")
+            environment.recordEvent(host, "receives $order with token $commandToken in session $session")
             when (order) {
-                is Order.Run -> run(key(order.start))
-                is Order.Stop -> key(order.start).let { key -> tasks[key]?.let { if (it.isThere) stop(key, it) } }
+                is Order.Run -> startTask(key(order.start))
+                is Order.Stop -> key(order.start).let { key -> tasks[key]?.let { if (it.isLive) stopTask(key, it) } }
                 is Order.Clear -> tasks.remove(key(order.start))
             }
         }
     }
 
-    private fun key(start: Start) = Key(start.task.toString(), start.attempt)
+    private fun key(start: Start) = AttemptKey(start.task.toString(), start.attempt)
 
-    private fun stop(key: Key, task: Task) = exit(key, task, "stopped")
+    private fun stopTask(key: AttemptKey, task: Task) = markExited(key, task, "stopped")
 
-    private fun run(key: Key) {
+    private fun startTask(key: AttemptKey) {
         if (key in tasks) return
-        changed = true
+        changedSinceReport = true
         val id = JobWire.parseTaskId(key.task)!!
         val spec = observer.jobs[id.job]
-        val busy = tasks.any { (other, t) -> other.task == key.task && t.isThere }
+        val busy = tasks.any { (other, task) -> other.task == key.task && task.isLive }
         if (spec == null || busy) {
             tasks[key] = Task(key.attempt, null, null).also { it.cause = if (spec == null) "no_such" else "busy" }
             return
         }
-        val from = clocks.mark() + world.fetchTime(spec)
-        val task = Task(key.attempt, from, if (spec.isService) null else from + world.taskTime(spec, id.index))
+        val runsFrom = clocks.mark() + environment.fetchTime(spec)
+        val task = Task(
+            key.attempt,
+            runsFrom,
+            if (spec.isService) null else runsFrom + environment.taskTime(spec, id.index),
+        )
         tasks[key] = task
-        if (world.fetchTime(spec) == Duration.ZERO) begin(key, task)
+        if (environment.fetchTime(spec) == Duration.ZERO) beginTask(key, task)
     }
 
-    private fun exit(key: Key, task: Task, cause: String) {
-        if (task.isOn) observer.recordStop(host, key.task)
+    private fun markExited(key: AttemptKey, task: Task, cause: String) {
+        if (task.isRunning) observer.recordStop(host, key.task)
         task.status = "exited"
         task.cause = cause
-        changed = true
-        world.recordEvent(host, "${key.task} attempt ${key.attempt} exits: $cause")
+        changedSinceReport = true
+        environment.recordEvent(host, "${key.task} attempt ${key.attempt} exits: $cause")
         if (cause == "done") observer.recordCompletion(key.task)
     }
 
-    /** `POST /commands`; null: no answer comes. */
-    suspend fun command(from: Long, of: Long, orders: List<Order>): DirectAnswer? {
+    /** Receives `POST /commands`; null if no response is sent. */
+    suspend fun command(commandToken: Long, targetSession: Long, orders: List<Order>): DirectCommandResponse? {
         delay(faults.commandDelay())
-        if (faults.dropsInbound || !alive) return null.also { delay(GIVEN_UP) }
-        fun act(): DirectAnswer {
+        if (faults.dropsInbound || !alive) return null.also { delay(COMMAND_TIMEOUT) }
+        fun executeCommand(): DirectCommandResponse {
             expireLeaseIfDue()
-            val accepted = from >= token && of == session
-            if (accepted) execute(from, orders)
-            return DirectAnswer(if (accepted) HttpStatus.OK else HttpStatus.CONFLICT, report())
+            val accepted = commandToken >= token && targetSession == session
+            if (accepted) executeOrders(commandToken, orders)
+            return DirectCommandResponse(if (accepted) HttpStatus.OK else HttpStatus.CONFLICT, encodeReport())
         }
-        faults.unansweredCommandDelay?.let { wait ->
+        faults.unansweredCommandDelay?.let { executionDelay ->
             scope.launch {
-                delay(wait)
-                if (alive) act()
+                delay(executionDelay)
+                if (alive) executeCommand()
             }
-            return null.also { delay(GIVEN_UP) }
+            return null.also { delay(COMMAND_TIMEOUT) }
         }
-        if (hangs) {
-            delayedByHang += { act() }
-            return null.also { delay(GIVEN_UP) }
+        if (isPaused) {
+            commandsWhilePaused += { executeCommand() }
+            return null.also { delay(COMMAND_TIMEOUT) }
         }
-        val answer = act()
+        val response = executeCommand()
         delay(faults.commandResponseDelay())
-        return answer
+        return response
     }
 
-    private suspend fun reporting() {
+    private suspend fun reportLoop() {
         delay((rentedAt.elapsedNow() + FIRST_REPORT))
         while (alive) {
-            if (!hangs) beat()
-            var waited = Duration.ZERO
-            while (alive && waited < reportInterval && !(changed && waited >= LEAST_BETWEEN_REPORTS)) {
+            if (!isPaused) sendReport()
+            var elapsed = Duration.ZERO
+            while (alive && elapsed < reportInterval && !(changedSinceReport && elapsed >= MIN_REPORT_INTERVAL)) {
                 delay(TICK)
-                waited += TICK
+                elapsed += TICK
             }
         }
     }
 
-    private suspend fun beat() {
-        changed = false
-        val sent = clocks.mark()
-        val inSession = session
-        val body = report()
-        val member = world.members[at % world.members.size]
-        copy(body)
-        val held = hold(body)
-        val controller = world.controller(member)
-        if (faults.dropsReports || held || controller == null || !faults.canReach(member)) {
-            delay(if (controller == null) REFUSED_AFTER else answerLimit)
-            at++
-            return delay(NEXT_NODE_AFTER)
+    private suspend fun sendReport() {
+        changedSinceReport = false
+        val sentAt = clocks.mark()
+        val sessionAtSend = session
+        val body = encodeReport()
+        val member = environment.members[controllerIndex % environment.members.size]
+        sendDuplicate(body)
+        val abandoned = abandonReportIfRequested(body)
+        val controller = environment.controller(member)
+        if (faults.dropsReports || abandoned || controller == null || !faults.canReach(member)) {
+            delay(if (controller == null) CONNECTION_REFUSED_DELAY else responseTimeout)
+            controllerIndex++
+            return delay(NEXT_CONTROLLER_DELAY)
         }
-        val answer = exchange(controller, body)
-        // An answer that comes while the machine stands still is read when it goes on, if it is not too late.
-        while (alive && hangs) delay(HANG_TICK)
-        if (!alive || inSession != session) return
-        if (leaseFrom.elapsedNow() > lease) return lapse()
-        if (answer == null || sent.elapsedNow() > answerLimit) {
-            at++
-            return delay(NEXT_NODE_AFTER)
+        val response = exchange(controller, body)
+        // A response that arrives during a pause is read on resumption, unless the response timeout has passed by then.
+        while (alive && isPaused) delay(PAUSE_TICK)
+        if (!alive || sessionAtSend != session) return
+        if (leaseRenewedAt.elapsedNow() > lease) return expireLease()
+        if (response == null || sentAt.elapsedNow() > responseTimeout) {
+            controllerIndex++
+            return delay(NEXT_CONTROLLER_DELAY)
         }
-        take(answer, sent)
+        applyResponse(response, sentAt)
     }
 
-    /** The report goes on its way even when the worker waits for its answer no more. */
+    /** Sends the report and waits for the response. The report still arrives after the worker has stopped waiting. */
     private suspend fun exchange(controller: ControllerPort, body: ByteArray): ApiResponse? {
-        val answer = scope.async {
+        val response = scope.async {
             delay(faults.reportDelay())
             controller.report(body).also { delay(faults.reportResponseDelay()) }
         }
-        val arrived = withTimeoutOrNull(answerLimit) { answer.await() }
-        if (!faults.dropsInbound) return arrived
-        delay(answerLimit)
+        val received = withTimeoutOrNull(responseTimeout) { response.await() }
+        if (!faults.dropsInbound) return received
+        delay(responseTimeout)
         return null
     }
 
-    private fun copy(body: ByteArray) {
-        val wait = world.duplicateReportDelay ?: return
+    private fun sendDuplicate(body: ByteArray) {
+        val duplicateDelay = environment.duplicateReportDelay ?: return
         scope.launch {
-            delay(wait)
-            world.controllers().forEach { it.report(body) }
+            delay(duplicateDelay)
+            environment.controllers().forEach { it.report(body) }
         }
     }
 
-    private fun hold(body: ByteArray): Boolean {
-        val wait = faults.nextReportDelay ?: return false
+    private fun abandonReportIfRequested(body: ByteArray): Boolean {
+        val arrivalDelay = faults.nextReportDelay ?: return false
         faults.nextReportDelay = null
         scope.launch {
-            delay(wait)
+            delay(arrivalDelay)
             faults.delayedReportArrived = true
-            world.controllers().forEach { it.report(body) }
+            environment.controllers().forEach { it.report(body) }
         }
         return true
     }
 
-    private suspend fun take(answer: ApiResponse, sent: ComparableTimeMark) {
-        val map = Cbor.decodeMap(answer.body)
-        when (answer.status) {
+    private suspend fun applyResponse(response: ApiResponse, sentAt: ComparableTimeMark) {
+        val map = Cbor.decodeMap(response.body)
+        when (response.status) {
             HttpStatus.OK -> {
                 if ((map["epoch"] as Long) < token) return
-                leaseFrom = sent
-                execute(map["epoch"] as Long, (map["orders"] as List<*>).map(Orders::decode))
+                leaseRenewedAt = sentAt
+                executeOrders(map["epoch"] as Long, (map["orders"] as List<*>).map(Orders::decode))
             }
 
             HttpStatus.MISDIRECTED -> {
-                val next = world.members.indexOf(map["supervisor"])
-                if (next >= 0 && next != at % world.members.size) at = next else at++.also { delay(NEXT_NODE_AFTER) }
+                val next = environment.members.indexOf(map["supervisor"])
+                if (next >= 0 && next != controllerIndex % environment.members.size) {
+                    controllerIndex = next
+                } else {
+                    controllerIndex++.also { delay(NEXT_CONTROLLER_DELAY) }
+                }
             }
 
-            else -> at++.also { delay(NEXT_NODE_AFTER) }
+            else -> controllerIndex++.also { delay(NEXT_CONTROLLER_DELAY) }
         }
     }
 
     private companion object {
         val TICK = 50.milliseconds
-        val HANG_TICK = 10.milliseconds
+        val PAUSE_TICK = 10.milliseconds
         val FIRST_REPORT = 1.seconds
-        val LEAST_BETWEEN_REPORTS = 500.milliseconds
-        val ANSWER_LIMIT = 4.seconds
-        val NEXT_NODE_AFTER = 1.seconds
-        val REFUSED_AFTER = 50.milliseconds
+        val MIN_REPORT_INTERVAL = 500.milliseconds
+        val RESPONSE_TIMEOUT = 4.seconds
+        val NEXT_CONTROLLER_DELAY = 1.seconds
+        val CONNECTION_REFUSED_DELAY = 50.milliseconds
 
-        /** After which a controller waits no more for the answer to a direct command. */
-        val GIVEN_UP = 2.seconds
+        /** The time after which a controller stops waiting for the response to a direct command. */
+        val COMMAND_TIMEOUT = 2.seconds
     }
 }
--- a/src/test/kotlin/topazvale/emulator/WorkerEnvironment.kt
+++ b/src/test/kotlin/topazvale/emulator/WorkerEnvironment.kt
@@ -5,32 +5,32 @@
 import topazvale.model.JobSpec
 import kotlin.time.Duration
 
-/** What a worker needs of the world around it. */
+/** The cluster around an emulated worker. */
 interface WorkerEnvironment {
     val clocks: Clocks
     val limits: WorkerLimits
 
-    /** What judges the rules; workers tell it what they run. */
+    /** Checks the protocol's rules; workers report to it what they run. */
     val observer: ProtocolObserver
 
     /** The names of the controllers, in the order in which workers try them. */
     val members: List<String>
 
-    /** Each report's copy arrives at every controller so much later; null: there are no copies. */
+    /** Every controller receives a duplicate of each report after this delay; null: no duplicates. */
     val duplicateReportDelay: Duration?
 
-    /** The controller of that name; null: it refuses connections. */
+    /** The controller of that name, or null if it refuses connections. */
     fun controller(member: String): ControllerPort?
 
-    /** All controllers that can be reached now. */
+    /** All controllers that are reachable now. */
     fun controllers(): List<ControllerPort>
 
-    /** How long the task runs. */
+    /** The run time of the task. */
     fun taskTime(spec: JobSpec, index: Int): Duration
 
-    /** How long its image is on its way; until then a task counts nowhere. */
+    /** The time to fetch the job's image; until then the task is not counted as running. */
     fun fetchTime(spec: JobSpec): Duration
 
-    /** Takes note of what a worker does; for those who look for the cause of a failure. */
+    /** Records what a worker does, for the analysis of a failure. */
     fun recordEvent(host: String, what: String) = Unit
 }
--- a/src/test/kotlin/topazvale/emulator/WorkerFaults.kt
+++ b/src/test/kotlin/topazvale/emulator/WorkerFaults.kt
@@ -3,33 +3,33 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** What can go wrong with a worker's messages; each way of each kind of message has a delay of its own. */
+/** Faults of a worker's messages. Each kind of message has its own delay in each direction. */
 class WorkerFaults {
-    /** Its reports arrive, and nothing reaches it. */
+    /** The worker's reports arrive, but no response and no direct command reaches it. */
     var dropsInbound = false
 
-    /** It reaches no controller, while direct commands reach it. */
+    /** The worker's reports reach no controller, but direct commands reach it. */
     var dropsReports = false
 
-    /** Which controllers it can be in touch with. */
+    /** Whether the worker and the controller of the given name can exchange messages: false is a partition. */
     var canReach: (String) -> Boolean = { true }
 
-    /** The next report is given up by the worker and arrives only so much later. */
+    /** The worker abandons its next report, which arrives at the controllers after this delay; null: no fault. */
     var nextReportDelay: Duration? = null
 
-    /** A report that was held has arrived. */
+    /** Whether a report delayed by [nextReportDelay] has arrived. */
     var delayedReportArrived = false
 
-    /** Direct commands get no answer and are carried out so much later. */
+    /** Direct commands are left without a response and carried out after this delay; null: no fault. */
     var unansweredCommandDelay: Duration? = null
 
-    /** How long a message is on its way: a report, its answer, a direct command, its answer. */
-    var reportDelay: () -> Duration = { USUAL_DELAY }
-    var reportResponseDelay: () -> Duration = { USUAL_DELAY }
-    var commandDelay: () -> Duration = { USUAL_DELAY }
-    var commandResponseDelay: () -> Duration = { USUAL_DELAY }
+    /** The transit time of each message: a report, its response, a direct command, its response. */
+    var reportDelay: () -> Duration = { DEFAULT_DELAY }
+    var reportResponseDelay: () -> Duration = { DEFAULT_DELAY }
+    var commandDelay: () -> Duration = { DEFAULT_DELAY }
+    var commandResponseDelay: () -> Duration = { DEFAULT_DELAY }
 
     private companion object {
-        val USUAL_DELAY = 3.milliseconds
+        val DEFAULT_DELAY = 3.milliseconds
     }
 }
--- a/src/test/kotlin/topazvale/fake/FakeCloud.kt
+++ b/src/test/kotlin/topazvale/fake/FakeCloud.kt
@@ -26,7 +26,10 @@
 import kotlin.time.TimeMark
 import kotlin.time.TimeSource
 
-/** Cloud and workers in one: machines are up at once, tasks run for [taskTime], double starts are noted. */
+/**
+ * A fake cloud that also emulates the workers: machines are up at once and tasks run for [taskTime]. A task that starts
+ * while it runs already is recorded in [duplicateRuns].
+ */
 class FakeCloud(
     private val types: List<MachineType>,
     private val taskTime: Duration,
@@ -36,56 +39,64 @@
     private val nodes: () -> List<Int>,
 ) : CloudService,
     WorkerClient {
-    private class Task(val attempt: Long, val ends: TimeMark, var status: String = "running", var cause: String? = null)
+    private class Task(
+        val attempt: Long,
+        val endsAt: TimeMark,
+        var status: String = "running",
+        var cause: String? = null,
+    )
 
     private inner class Worker(val host: String, val market: Market) {
         val tasks = LinkedHashMap<String, Task>()
         var token = 0L
-        var tick = 0L
+        var sequence = 0L
         var session = 1L
-        var at = 0
-        private var lapses: TimeMark = TimeSource.Monotonic.markNow() + lease
+        var nodeIndex = 0
+        private var leaseEnds: TimeMark = TimeSource.Monotonic.markNow() + lease
 
         @Synchronized
         fun report(): Map<String, Any?> {
-            for (t in tasks.values) if (t.status == "running" && t.ends.hasPassedNow()) exit(t, "done")
+            for (task in tasks.values) {
+                if (task.status == "running" && task.endsAt.hasPassedNow()) markExited(task, "done")
+            }
             return mapOf(
                 "host" to host, "endpoint" to "127.0.0.1:${host.removePrefix("n-")}", "flavor" to market.type,
-                "hall" to market.zone, "standby" to market.spot, "shift" to session, "tick" to ++tick, "epoch" to token,
-                "steps" to tasks.map { (key, t) ->
+                "hall" to market.zone, "standby" to market.spot, "shift" to session, "tick" to ++sequence,
+                "epoch" to token,
+                "steps" to tasks.map { (key, task) ->
                     mapOf(
                         "step" to key.substringBefore('#'),
-                        "try" to t.attempt,
-                        "status" to t.status,
-                        "cause" to t.cause,
+                        "try" to task.attempt,
+                        "status" to task.status,
+                        "cause" to task.cause,
                     )
                 },
             )
         }
 
-        /** Nothing renews its lease: it ends all tasks and goes on in a new session. */
+        /** Ends all tasks and starts a new session once the lease has expired without renewal. */
         @Synchronized
-        fun lapse() {
-            if (!lapses.hasPassedNow()) return
-            lapses = TimeSource.Monotonic.markNow() + lease
-            for (t in tasks.values) if (t.status == "running") exit(t, "stopped")
+        fun expireLease() {
+            if (!leaseEnds.hasPassedNow()) return
+            leaseEnds = TimeSource.Monotonic.markNow() + lease
+            for (task in tasks.values) if (task.status == "running") markExited(task, "stopped")
             tasks.clear()
             session++
         }
 
         @Synchronized
-        fun execute(from: Long, orders: List<Order>): Boolean {
-            if (from < token) return false
-            token = from
+        fun execute(commandToken: Long, orders: List<Order>): Boolean {
+            if (commandToken < token) return false
+            token = commandToken
             for (order in orders) {
                 when (order) {
-                    is Order.Run -> run("${order.start.task}#${order.start.attempt}", order.start.attempt)
+                    is Order.Run -> startTask("${order.start.task}#${order.start.attempt}", order.start.attempt)
 
                     is Order.Stop -> tasks["${order.start.task}#${order.start.attempt}"]?.let {
                         if (it.status ==
                             "running"
                         ) {
-                            exit(it, "stopped")
+                            markExited(it, "stopped")
                         }
                     }
 
@@ -95,14 +106,14 @@
             return true
         }
 
-        private fun run(key: String, attempt: Long) {
+        private fun startTask(key: String, attempt: Long) {
             if (key in tasks) return
             tasks[key] = Task(attempt, TimeSource.Monotonic.markNow() + taskTime)
             val task = key.substringBefore('#')
             if (running.merge(task, 1, Int::plus)!! > 1) duplicateRuns += task
         }
 
-        private fun exit(task: Task, cause: String) {
+        private fun markExited(task: Task, cause: String) {
             task.status = "exited"
             task.cause = cause
             running.merge(tasks.entries.first { it.value === task }.key.substringBefore('#'), -1, Int::plus)
@@ -110,30 +121,30 @@
     }
 
     private val workers = ConcurrentHashMap<String, Worker>()
-    private var created = 0
+    private var rentedCount = 0
     val running = ConcurrentHashMap<String, Int>()
     val duplicateRuns: MutableSet<String> = ConcurrentHashMap.newKeySet()
 
-    /** Straight orders get no answer and arrive this much later. */
+    /** Direct commands get no response and arrive after this delay; null: no fault. */
     var commandDelay: Duration? = null
 
-    /** Machines whose reports arrive, and which neither answers nor straight orders reach. */
+    /** Machines whose reports arrive, but which receive neither responses nor direct commands. */
     val hostsDroppingInbound: MutableSet<String> = ConcurrentHashMap.newKeySet()
 
-    /** A copy of each report arrives once more, this much later. */
+    /** A duplicate of each report arrives after this delay; null: no duplicates. */
     var duplicateReportDelay: Duration? = null
 
-    /** The node that no worker reaches. */
+    /** The port of the controller that no worker reaches. */
     var unreachablePort: Int? = null
 
     override suspend fun listMachineTypes() = types
 
     override suspend fun rent(name: String, market: Market, count: Int, precondition: () -> Boolean): RentalOutcome {
-        val hosts = (1..count).map { "n-%06d".format(synchronized(this) { ++created }) }
+        val hosts = (1..count).map { "n-%06d".format(synchronized(this) { ++rentedCount }) }
         for (host in hosts) {
             val worker = Worker(host, market)
             workers[host] = worker
-            scope.launch { reporting(worker) }
+            scope.launch { reportLoop(worker) }
         }
         return RentalOutcome.Rented(hosts)
     }
@@ -150,10 +161,10 @@
     override suspend fun command(endpoint: String, token: Long, session: Long, orders: List<Order>): Report? {
         val worker =
             workers["n-${endpoint.substringAfterLast(':')}"]?.takeIf { it.host !in hostsDroppingInbound } ?: return null
-        val wait = commandDelay
-        if (wait != null) {
+        val arrivalDelay = commandDelay
+        if (arrivalDelay != null) {
             scope.launch {
-                delay(wait)
+                delay(arrivalDelay)
                 worker.execute(token, orders)
             }
             return null
@@ -162,35 +173,35 @@
         return WorkerWire.decodeReport(Cbor.encode(worker.report()))
     }
 
-    private suspend fun reporting(worker: Worker) {
+    private suspend fun reportLoop(worker: Worker) {
         while (workers[worker.host] === worker) {
             val ports = nodes()
-            val reply = if (ports.isEmpty()) {
+            val response = if (ports.isEmpty()) {
                 null
             } else {
-                val port = ports[worker.at % ports.size]
+                val port = ports[worker.nodeIndex % ports.size]
                 if (port == unreachablePort) {
                     null
                 } else {
-                    beat(port, Cbor.encode(worker.report()))
+                    sendReport(port, Cbor.encode(worker.report()))
                 }
             }
             if (worker.host in hostsDroppingInbound) {
-                worker.lapse()
-            } else if (reply?.status == 200) {
-                val body = Cbor.decodeMap(reply.body)
-                worker.execute(body["epoch"] as Long, (body["orders"] as List<*>).map(::order))
+                worker.expireLease()
+            } else if (response?.status == 200) {
+                val body = Cbor.decodeMap(response.body)
+                worker.execute(body["epoch"] as Long, (body["orders"] as List<*>).map(::decodeOrder))
             } else {
-                worker.at++
+                worker.nodeIndex++
             }
-            delay(EVERY)
+            delay(REPORT_INTERVAL)
         }
     }
 
-    private suspend fun beat(port: Int, body: ByteArray): HttpResponse? {
-        duplicateReportDelay?.let { wait ->
+    private suspend fun sendReport(port: Int, body: ByteArray): HttpResponse? {
+        duplicateReportDelay?.let { duplicateDelay ->
             scope.launch {
-                delay(wait)
+                delay(duplicateDelay)
                 nodes().forEach {
                     http.call(Address("127.0.0.1", it), Call(HttpMethod.POST, "/agent/beat", body, 2.seconds))
                 }
@@ -199,7 +210,7 @@
         return http.call(Address("127.0.0.1", port), Call(HttpMethod.POST, "/agent/beat", body, 2.seconds))
     }
 
-    private fun order(value: Any?): Order {
+    private fun decodeOrder(value: Any?): Order {
         val map = value as Map<*, *>
         val task = topazvale.wire.JobWire.parseTaskId(map["step"] as String)!!
         val start = topazvale.model.Start(task, map["try"] as Long)
@@ -211,6 +222,6 @@
     }
 
     private companion object {
-        val EVERY = 100.milliseconds
+        val REPORT_INTERVAL = 100.milliseconds
     }
 }
--- a/src/test/kotlin/topazvale/fake/FakeCluster.kt
+++ b/src/test/kotlin/topazvale/fake/FakeCluster.kt
@@ -41,8 +41,9 @@
 import kotlin.time.Instant
 
 /**
- * Controllers, state service, cloud, workers and users in virtual time. Whoever breaks a rule of the protocol is noted
- * in [violations] at the moment at which it happens, by what the workers do and what the users were told alone.
+ * Controllers with a fake state service, a fake cloud, and emulated workers and users, in virtual time. Each violation
+ * of the protocol's rules is added to [violations] at the moment at which it occurs. The checks rely only on what
+ * workers run and on the responses that users receive.
  */
 class FakeCluster(
     private val test: TestScope,
@@ -58,51 +59,56 @@
     )
     private val scope = test.backgroundScope
     val store = FakeStateStore(clocks)
-    val settings = Settings.parse(settingsText).let { s ->
-        s.copy(
-            peers = members.mapIndexed { i, m -> Peer(m, "a", Address("127.0.0.1", 9000 + i)) },
+    val settings = Settings.parse(settingsText).let { parsed ->
+        parsed.copy(
+            peers = members.mapIndexed { i, member -> Peer(member, "a", Address("127.0.0.1", 9000 + i)) },
             initialSize = members.size,
         )
     }
 
-    /** Judges the rules by what workers run and users are told. */
+    /** Checks the rules by what workers run and by the responses that users receive. */
     val observer = ProtocolObserver(settings, clocks)
     val violations: List<String> get() = observer.violations.map { it.toString() }
     val jobs get() = observer.jobs
     val running get() = observer.running
     val starts get() = observer.starts
     private val random = Random(5)
-    private val users = UserEmulator(observer, clocks) { randomNode() }
+    private val users = UserEmulator(observer, clocks) { randomMember() }
 
-    /** A copy of each report arrives at every node so much later. */
+    /** A duplicate of each report arrives at every controller after this delay; null: no duplicates. */
     var duplicateReportDelay: Duration? = null
 
-    /** The rate of each new worker's clock. */
+    /** Supplies the clock rate of each new worker. */
     var clockRate: () -> Double = { 1.0 }
     var taskTime: (JobSpec, Int) -> Duration = { _, _ -> 20.seconds }
 
     inner class Member(val name: String) : ControllerPort {
-        /** What a call of this controller throws instead of being made, by the call's name. */
+        /** The injected exception for a call of this controller, by the call's name; null lets the call pass. */
         var failure: (String) -> Throwable? = { null }
         val state = FakeStateService(store).also {
             it.delayedWriteScope = scope
             it.failure = { call -> failure(call) }
         }
-        private val own = SupervisedScope(scope.coroutineContext, ::endFatally)
+        private val memberScope = SupervisedScope(scope.coroutineContext, ::endFatally)
         var cutFromPeers = false
         var cutFromWorkers = false
         private val runtime =
             ControllerRuntime(
-                own,
+                memberScope,
                 Sockets(1800, fixedConnections = 0),
-                ownClocks(),
-                Random(members.indexOf(name) + 31 * ++lives),
+                memberClocks(),
+                Random(members.indexOf(name) + 31 * ++incarnations),
             )
         val controller: Controller =
-            Controller(settings.copy(member = name), ServiceClients(state, cloudClient(), client()), peers(), runtime)
+            Controller(
+                settings.copy(member = name),
+                ServiceClients(state, cloudClient(), workerClient()),
+                peerClient(),
+                runtime,
+            )
                 .also { it.start() }
 
-        /** The process ends, and is started again by whoever supervises it. */
+        /** Ends the process after a fatal failure and restarts it after a delay, as a process supervisor does. */
         private fun endFatally(cause: Throwable) {
             fatalFailures += cause
             stop()
@@ -112,22 +118,22 @@
             }
         }
 
-        private fun failIfAsked(call: String) {
+        private fun throwIfInjected(call: String) {
             failure(call)?.let { throw it }
         }
 
-        /** For how long the process stands still when it next asks for the time of day, as in the midst of a plan. */
+        /** The length of a process pause at the next wall-clock read, for example within a planning pass. */
         var nextPause = Duration.ZERO
-        private var stoodStill = Duration.ZERO
+        private var totalPause = Duration.ZERO
 
-        private fun ownClocks() = Clocks(
+        private fun memberClocks() = Clocks(
             object : AbstractLongTimeSource(DurationUnit.NANOSECONDS) {
-                override fun read() = (test.testScheduler.currentTime.milliseconds + stoodStill).inWholeNanoseconds
+                override fun read() = (test.testScheduler.currentTime.milliseconds + totalPause).inWholeNanoseconds
             },
             object : Clock {
                 override fun now(): Instant {
-                    failIfAsked("now")
-                    stoodStill += nextPause
+                    throwIfInjected("now")
+                    totalPause += nextPause
                     nextPause = Duration.ZERO
                     return clocks.now()
                 }
@@ -135,24 +141,24 @@
         )
 
         private fun cloudClient() = object : CloudService by cloud {
-            override suspend fun listMachineTypes() = cloud.listMachineTypes().also { failIfAsked("types") }
+            override suspend fun listMachineTypes() = cloud.listMachineTypes().also { throwIfInjected("types") }
 
-            override suspend fun listMachines() = cloud.listMachines().also { failIfAsked("machines") }
+            override suspend fun listMachines() = cloud.listMachines().also { throwIfInjected("machines") }
         }
 
-        private fun client() = object : WorkerClient {
+        private fun workerClient() = object : WorkerClient {
             override suspend fun command(endpoint: String, token: Long, session: Long, orders: List<Order>): Report? {
-                failIfAsked("command")
+                throwIfInjected("command")
                 val worker = workers["n-" + endpoint.substringAfterLast(':')]
-                val reached = !cutFromWorkers && worker != null && worker.faults.canReach(name)
-                if (!reached) return null.also { delay(2.seconds) }
+                val isReachable = !cutFromWorkers && worker != null && worker.faults.canReach(name)
+                if (!isReachable) return null.also { delay(2.seconds) }
                 return worker.command(token, session, orders)?.let { WorkerWire.decodeReport(it.report) }
             }
         }
 
-        private fun peers() = object : PeerClient {
+        private fun peerClient() = object : PeerClient {
             override suspend fun fetchStatus(peer: Peer): ByteArray? {
-                failIfAsked("peer")
+                throwIfInjected("peer")
                 val other = nodes[peer.member]
                 if (cutFromPeers || other == null || other.cutFromPeers) return null.also { delay(1.seconds) }
                 delay(2.milliseconds)
@@ -174,11 +180,11 @@
         fun stop() {
             nodes.remove(name)
             controller.close()
-            own.cancel()
+            memberScope.cancel()
         }
     }
 
-    private val workerWorld = object : WorkerEnvironment {
+    private val workerEnvironment = object : WorkerEnvironment {
         override val clocks = this@FakeCluster.clocks
         override val limits = settings.workers
         override val observer = this@FakeCluster.observer
@@ -194,15 +200,15 @@
         override fun fetchTime(spec: JobSpec) = Duration.ZERO
     }
 
-    /** What processes have ended for by themselves. */
+    /** The failures for which processes have ended by themselves. */
     val fatalFailures = ArrayList<Throwable>()
-    private var lives = 0
+    private var incarnations = 0
     val nodes = LinkedHashMap<String, Member>()
     val workers = LinkedHashMap<String, WorkerEmulator>()
 
-    /** Machines that the cloud gives in all; the rest is refused. */
+    /** The number of machines that may be rented at a time; the cloud refuses more. */
     var capacity = 40
-    private var rented = 0
+    private var rentedCount = 0
 
     val cloud = object : CloudService {
         override suspend fun listMachineTypes() = Samples.types.values.toList().also { delay(20.milliseconds) }
@@ -214,7 +220,7 @@
             precondition: () -> Boolean,
         ): RentalOutcome {
             delay(100.milliseconds)
-            val hosts = (1..minOf(count, capacity - workers.size)).map { "n-%04d".format(++rented) }
+            val hosts = (1..minOf(count, capacity - workers.size)).map { "n-%04d".format(++rentedCount) }
             if (hosts.isEmpty()) return RentalOutcome.NoCapacity
             hosts.forEach { workers[it] = worker(it, market).also(WorkerEmulator::start) }
             return RentalOutcome.Rented(hosts)
@@ -236,14 +242,14 @@
 
     private fun worker(host: String, market: Market): WorkerEmulator {
         val endpoint = "127.0.0.1:" + host.removePrefix("n-")
-        return WorkerEmulator(host, endpoint, market, workerWorld, scope, clockRate())
+        return WorkerEmulator(host, endpoint, market, workerEnvironment, scope, clockRate())
     }
 
     fun runningCount(id: String) = observer.runningCount(id)
 
     private fun now() = test.testScheduler.currentTime.milliseconds
 
-    private suspend fun randomNode(): Member {
+    private suspend fun randomMember(): Member {
         while (nodes.isEmpty()) delay(50.milliseconds)
         return nodes.values.random(random)
     }
@@ -262,25 +268,28 @@
         nodes[name] = Member(name)
     }
 
-    /** The member that leads by the state service's word. */
+    /** The controller that holds the leader key in the state service. */
     val leader: Member? get() = nodes[store.get(topazvale.store.Keys.LEADER)?.data?.get("member")]
 
     val followers: List<Member> get() = nodes.values.filter { it !== leader }
 
-    /** Through [via], or any node that takes it; asked again like a user does. */
+    /** Submits the job as a user, with retries, through [via] or through any controller if null. */
     suspend fun submit(spec: JobSpec, via: Member? = null): Int = users.submit(spec, via)
 
     suspend fun poll(id: String, via: Member? = null): String? = users.poll(id, via)
 
-    /** One request; null without an answer that settles it. */
+    /** Requests the cancellation once; null if no conclusive response came. */
     suspend fun tryCancel(id: String, via: Member): String? = users.tryCancel(id, via)
 
     suspend fun cancel(id: String, via: Member? = null): String = users.cancel(id, via)
 
-    suspend fun awaitCondition(within: Duration, what: String, look: suspend () -> Boolean) {
+    /** Waits until [condition] holds; fails after [within] with [description]. */
+    suspend fun awaitCondition(within: Duration, description: String, condition: suspend () -> Boolean) {
         val end = clocks.mark() + within
-        while (!look()) {
-            check(end.hasNotPassedNow()) { "not within $within: $what (at ${now()}; broken so far: $violations)" }
+        while (!condition()) {
+            check(end.hasNotPassedNow()) {
+                "not within $within: $description (at ${now()}; violations so far: $violations)"
+            }
             delay(100.milliseconds)
         }
     }
--- a/src/test/kotlin/topazvale/fake/FakeStateService.kt
+++ b/src/test/kotlin/topazvale/fake/FakeStateService.kt
@@ -23,26 +23,26 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** The state service's contents, shared by the views that nodes have of it. */
+/** The contents of the fake state service, shared by the clients of all controllers. */
 class FakeStateStore(val clocks: Clocks = Clocks.SYSTEM) {
-    class Grant(val ttl: Duration, var ends: ComparableTimeMark)
+    class Grant(val ttl: Duration, var endsAt: ComparableTimeMark)
 
     class Value(val data: Map<String, Any?>, val version: Long, val lease: Long?)
 
-    /** What a transaction and a value may hold; more is refused as invalid, and what is stored stays. */
+    /** Limits of a transaction's changes and of a value's size. A larger commit is invalid; stored values remain. */
     var maxTransactionOps = Int.MAX_VALUE
     var maxValueBytes = Int.MAX_VALUE
 
     val values = TreeMap<String, Value>()
     private val grants = HashMap<Long, Grant>()
     private val history = ArrayList<Event>()
-    private var changed = CompletableDeferred<Unit>()
+    private var changeSignal = CompletableDeferred<Unit>()
     private var lastGrant = 0L
     var revision = 0L
         private set
 
-    /** Changes up to this revision are kept no more: a watch from before is told that it is too old. */
-    private var compacted = 0L
+    /** The history is compacted up to this revision: a watch from an earlier revision gets the response "too old". */
+    private var compactedRevision = 0L
 
     @Synchronized
     fun commit(conditions: List<Condition>, changes: List<Change>): Commit {
@@ -63,7 +63,7 @@
         revision++
         for (change in changes) {
             when (change) {
-                // Through the wire's form: whole numbers come back as the wire brings them.
+                // The round trip through CBOR gives whole numbers the type that the wire format returns.
                 is Change.Put -> values[change.key] =
                     Value(Cbor.decodeMap(Cbor.encode(change.data)), revision, change.lease)
 
@@ -71,17 +71,17 @@
             }
             history += Event(change.key, values[change.key]?.data, revision)
         }
-        changed.complete(Unit)
-        changed = CompletableDeferred()
+        changeSignal.complete(Unit)
+        changeSignal = CompletableDeferred()
     }
 
     @Synchronized
     fun expire() {
         if (outage) return
-        val ended = grants.filterValues { it.ends.hasPassedNow() }.keys
+        val ended = grants.filterValues { it.endsAt.hasPassedNow() }.keys
         grants -= ended
-        val gone = values.filterValues { it.lease in ended }.keys.map { Change.Delete(it) }
-        if (gone.isNotEmpty()) apply(gone)
+        val expiredKeys = values.filterValues { it.lease in ended }.keys.map { Change.Delete(it) }
+        if (expiredKeys.isNotEmpty()) apply(expiredKeys)
     }
 
     @Synchronized
@@ -94,146 +94,147 @@
     fun renew(lease: Long): Boolean {
         expire()
         val grant = grants[lease] ?: return false
-        grant.ends = clocks.mark() + grant.ttl
+        grant.endsAt = clocks.mark() + grant.ttl
         return true
     }
 
     @Synchronized
     fun get(key: String): Entry? = values[key]?.let { Entry(key, it.data, it.version, it.lease) }
 
-    /** At most [limit] entries below the prefix, after a key. */
+    /** Returns at most [limit] entries with the prefix, after the key [after]. */
     @Synchronized
     fun list(prefix: String, after: String? = null, limit: Int = Int.MAX_VALUE): Page {
-        val rest = values.tailMap(prefix).filterKeys { it.startsWith(prefix) && (after == null || it > after) }
-        val entries = rest.entries.take(limit).map { (key, value) -> Entry(key, value.data, value.version) }
-        return Page(entries, hasMore = rest.size > entries.size, revision)
+        val matching = values.tailMap(prefix).filterKeys { it.startsWith(prefix) && (after == null || it > after) }
+        val entries = matching.entries.take(limit).map { (key, value) -> Entry(key, value.data, value.version) }
+        return Page(entries, hasMore = matching.size > entries.size, revision)
     }
 
-    /** Forgets all changes so far: the next watch from before is told that it is too old. */
+    /** Compacts the history: the next watch from an earlier revision gets the response "too old". */
     @Synchronized
     fun compact() {
         history.clear()
-        compacted = revision
+        compactedRevision = revision
     }
 
     @Synchronized
-    private fun since(prefix: String, after: Long): Events? {
-        if (after < compacted) return null
+    private fun changesSince(prefix: String, after: Long): Events? {
+        if (after < compactedRevision) return null
         return Events(history.filter { it.version > after && it.key.startsWith(prefix) }, revision)
     }
 
-    /** Nobody is answered. No lease ends meanwhile, and after it all have their full time again. */
+    /** No request is answered. No lease expires during the outage, and after it each lease has its full TTL again. */
     var outage = false
-        @Synchronized set(on) {
-            if (!on) grants.values.forEach { it.ends = clocks.mark() + it.ttl }
-            field = on
+        @Synchronized set(value) {
+            if (!value) grants.values.forEach { it.endsAt = clocks.mark() + it.ttl }
+            field = value
         }
 
-    /** The changes after a revision, as soon as there are any; null where it is too old. */
+    /** Waits at most [wait] for changes after revision [after] and returns them; null if the revision is too old. */
     suspend fun changes(prefix: String, after: Long, wait: Duration): Events? {
         val end = clocks.mark() + wait
         while (true) {
             expire()
-            val seen = since(prefix, after) ?: return null
-            if (seen.events.isNotEmpty() || end.hasPassedNow()) return seen
-            val next = changed
-            withTimeoutOrNull(20.milliseconds) { next.await() }
+            val events = changesSince(prefix, after) ?: return null
+            if (events.events.isNotEmpty() || end.hasPassedNow()) return events
+            val nextChange = changeSignal
+            withTimeoutOrNull(20.milliseconds) { nextChange.await() }
         }
     }
 }
 
-/** One node's view of the store, which can be cut off from it, lose answers, or have what it sends carried out late. */
+/** A controller's client of the store, with injected faults: partitions, lost responses and delayed writes. */
 class FakeStateService(private val store: FakeStateStore) : StateService {
+    /** Calls are refused; watches get no response. */
     var refusing = false
 
-    /** No call is answered, nor carried out. */
+    /** Calls are neither carried out nor answered. */
     var hanging = false
 
-    /** Watches are not answered, while all other calls are. */
+    /** Watches are not answered, but all other calls are. */
     var watchesHang = false
 
-    /** How many entries a page of a listing has, and how long each page is on its way. */
+    /** The maximum number of entries of a listing's page, and the transit time of each page. */
     var pageSize = Int.MAX_VALUE
     var pageDelay = Duration.ZERO
 
-    /** What the client throws instead of making a call, by the call's name and its key or prefix. */
+    /** The exception to throw instead of a call, by the call's name and its key or prefix; null lets the call pass. */
     var failure: (String) -> Throwable? = { null }
 
-    /** How long the answer to a watch is on its way: what happens meanwhile is not in it. */
+    /** The transit time of a watch's response, which does not contain the changes made during that time. */
     var watchDelay = Duration.ZERO
 
-    /** Transactions are carried out, but their answers get lost. */
+    /** Transactions are carried out, but their responses are lost. */
     var losesResponses = false
 
-    /** What becomes of the next transactions: each is given up without an answer, and carried out so much later. */
+    /** The delays of the next transactions. Each gets no response, and is committed after its delay. */
     val delayedWrites = ArrayDeque<Duration>()
 
-    /** Where late transactions are carried out. */
+    /** The scope in which delayed transactions are committed. */
     var delayedWriteScope: CoroutineScope? = null
     var latency: Duration = 1.milliseconds
-    private var last: ComparableTimeMark = store.clocks.mark()
+    private var lastResponseAt: ComparableTimeMark = store.clocks.mark()
 
-    override val timeSinceLastResponse: Duration get() = last.elapsedNow()
+    override val timeSinceLastResponse: Duration get() = lastResponseAt.elapsedNow()
 
-    private fun failIfAsked(call: String) {
+    private fun throwIfInjected(call: String) {
         failure(call)?.let { throw it }
     }
 
-    private suspend fun <T> call(work: suspend () -> Outcome<T>): Outcome<T> {
+    private suspend fun <T> call(operation: suspend () -> Outcome<T>): Outcome<T> {
         delay(latency)
-        if (hanging) return Outcome.Unknown.also { delay(HANGS) }
+        if (hanging) return Outcome.Unknown.also { delay(HANG_TIMEOUT) }
         if (refusing || store.outage) return Outcome.Refused
-        return work().also { last = store.clocks.mark() }
+        return operation().also { lastResponseAt = store.clocks.mark() }
     }
 
     override suspend fun get(key: String): Outcome<Entry> = call {
-        failIfAsked("get $key")
+        throwIfInjected("get $key")
         store.get(key)?.let { Outcome.Ok(it) }
             ?: Outcome.Gone
     }
 
     override suspend fun list(prefix: String, after: String?): Outcome<Page> = call {
-        failIfAsked("list $prefix")
+        throwIfInjected("list $prefix")
         Outcome.Ok(store.list(prefix, after, pageSize))
     }.also { delay(pageDelay) }
 
     override suspend fun commit(conditions: List<Condition>, changes: List<Change>, urgent: Boolean): Commit {
-        failIfAsked("commit")
+        throwIfInjected("commit")
         delay(latency)
-        if (hanging) return Commit.Unknown.also { delay(HANGS) }
+        if (hanging) return Commit.Unknown.also { delay(HANG_TIMEOUT) }
         if (refusing || store.outage) return Commit.Refused
-        val wait = delayedWrites.removeFirstOrNull()
-        if (wait != null) {
+        val writeDelay = delayedWrites.removeFirstOrNull()
+        if (writeDelay != null) {
             delayedWriteScope?.launch {
-                delay(wait)
+                delay(writeDelay)
                 store.commit(conditions, changes)
             }
-            delay(HANGS)
+            delay(HANG_TIMEOUT)
             return Commit.Unknown
         }
         val commit = store.commit(conditions, changes)
-        last = store.clocks.mark()
+        lastResponseAt = store.clocks.mark()
         return if (losesResponses) Commit.Unknown else commit
     }
 
     override suspend fun grant(ttl: Duration): Outcome<Long> = call {
-        failIfAsked("grant")
+        throwIfInjected("grant")
         Outcome.Ok(store.grant(ttl))
     }
 
     override suspend fun renew(lease: Long): Outcome<Unit> = call {
-        failIfAsked("renew")
+        throwIfInjected("renew")
         if (store.renew(lease)) Outcome.Ok(Unit) else Outcome.Gone
     }
 
     override suspend fun watch(prefix: String, since: Long, wait: Duration): Outcome<Events> =
-        withTimeoutOrNull(wait + HANGS) {
-            failIfAsked("watch $prefix")
+        withTimeoutOrNull(wait + HANG_TIMEOUT) {
+            throwIfInjected("watch $prefix")
             while (refusing || hanging || watchesHang || store.outage) delay(10.milliseconds)
             call { store.changes(prefix, since, wait)?.let { Outcome.Ok(it) } ?: Outcome.Gone }
         }?.also { delay(watchDelay) } ?: Outcome.Unknown
 
     private companion object {
-        val HANGS = 2.seconds
+        val HANG_TIMEOUT = 2.seconds
     }
 }
